--- a/include/cyclamendrift/leadership/leadership_events.h
+++ b/include/cyclamendrift/leadership/leadership_events.h
@@ -25,11 +25,11 @@
     /// How much of the log it has received.
     Progress received;
     /// It receives nothing while this is above its term; 0 when it was not paused.
-    Term heldTerm {};
+    Term pausedBelowTerm {};
 };
 
 /// The duty to look after a group: held by one VM at a time, under a lease.
-struct LeadershipDuty {
+struct CoordinatorLease {
     VmName holder;
     /// Grows with each change of holder.
     std::uint64_t token = 0;
@@ -54,7 +54,7 @@
 struct LeadershipSnapshot {
     std::optional<LeadershipRecord> record;
     std::uint64_t recordRevision = 0;
-    std::optional<LeadershipDuty> duty;
+    std::optional<CoordinatorLease> coordinatorLease;
     /// When the store was asked; everything acknowledged before is in the snapshot.
     Instant askedAt;
     /// Store or Sibling.
@@ -80,16 +80,16 @@
     Term term {};
 };
 /// Take the duty of the group, which nobody holds.
-struct TakeDuty { };
+struct AcquireCoordinatorLease { };
 /// Give the duty up, because another VM can do it better.
-struct YieldDuty {
+struct ReleaseCoordinatorLease {
     std::uint64_t revision = 0;
 };
 /// Change the record if it and the duty stand at these revisions.
-struct WriteLeadership {
+struct WriteLeadershipRecord {
     LeadershipRecord record;
     std::uint64_t expectedRevision = 0;
-    std::uint64_t dutyRevision = 0;
+    std::uint64_t leaseRevision = 0;
 };
 /// Name the upstream that takes over.
 struct PromoteUpstream {
@@ -97,16 +97,17 @@
     std::uint64_t token = 0;
 };
 /// Hand a view to whoever sends statements.
-struct PublishLeader {
+struct PublishView {
     LeaderView view;
 };
 /// A change of belief that the log should hold.
-struct LeadershipNote {
+struct LogLeadershipEvent {
     std::string event;
     std::vector<std::pair<std::string, std::string>> fields;
 };
 /// Anything that a coordinator wants done.
-using LeadershipAction = std::variant<AskStatus, PauseReplica, ResumeReplica, DemotePrimary, TakeDuty,
-    YieldDuty, WriteLeadership, PromoteUpstream, PublishLeader, LeadershipNote>;
+using LeadershipAction
+    = std::variant<AskStatus, PauseReplica, ResumeReplica, DemotePrimary, AcquireCoordinatorLease,
+        ReleaseCoordinatorLease, WriteLeadershipRecord, PromoteUpstream, PublishView, LogLeadershipEvent>;
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/leadership/pending_promotions.h
+++ b/include/cyclamendrift/leadership/pending_promotions.h
@@ -11,20 +11,20 @@
 /// once would make two primaries.
 class PendingPromotions {
 public:
-    /// What was sent has taken effect `settledAfter` later, or never will.
-    explicit PendingPromotions(Duration settledAfter) noexcept
-        : settledAfter(settledAfter)
+    /// What was sent has taken effect `settleTime` later, or never will.
+    explicit PendingPromotions(Duration settleTime) noexcept
+        : settleTime(settleTime)
     {
     }
 
     /// This VM sends a promotion.
-    void noteSent(const UpstreamName& upstream, Instant now);
+    void recordSent(const UpstreamName& upstream, Instant now);
     /// Former holders of the duty may have sent some, the last of them before `now`.
-    void noteFormer(const UpstreamName& upstream, Instant now);
+    void recordInherited(const UpstreamName& upstream, Instant now);
     /// One promotion has taken effect or was refused. Where more than one was sent, the others remain.
-    void noteOutcome(const UpstreamName& upstream);
+    void recordOutcome(const UpstreamName& upstream);
     /// True when a promotion of another upstream may still take effect.
-    [[nodiscard]] bool anyBut(const UpstreamName& upstream, Instant now) const;
+    [[nodiscard]] bool isOtherPending(const UpstreamName& upstream, Instant now) const;
 
 private:
     struct Sent {
@@ -32,7 +32,7 @@
         bool repeated = false;
     };
 
-    Duration settledAfter;
+    Duration settleTime;
     std::map<UpstreamName, Sent> sent;
 };
 
--- a/src/leadership/leader_coordinator.cpp
+++ b/src/leadership/leader_coordinator.cpp
@@ -9,27 +9,27 @@
 
 LeaderCoordinator::LeaderCoordinator(Options options)
     : options(std::move(options))
-    , promotions(this->options.settings.promotionSettled)
+    , pendingPromotions(this->options.settings.promotionSettleTime)
 {
 }
 
 const LeadershipRecord& LeaderCoordinator::record() const
 {
-    if (!this->known.record)
+    if (!this->latestSnapshot.record)
         throw LeadershipError { "nothing was read of who leads" };
-    return *this->known.record;
+    return *this->latestSnapshot.record;
 }
 
-const LeadershipDuty& LeaderCoordinator::duty() const
+const CoordinatorLease& LeaderCoordinator::coordinatorLease() const
 {
-    if (!this->known.duty)
+    if (!this->latestSnapshot.coordinatorLease)
         throw LeadershipError { "nobody is known to hold the duty" };
-    return *this->known.duty;
+    return *this->latestSnapshot.coordinatorLease;
 }
 
 bool LeaderCoordinator::isPrimary(const UpstreamName& name) const
 {
-    return this->known.record && this->known.record->primary == name;
+    return this->latestSnapshot.record && this->latestSnapshot.record->primary == name;
 }
 
 LeaderCoordinator::Member* LeaderCoordinator::find(const UpstreamName& name)
@@ -39,55 +39,57 @@
     return match == this->members.end() ? nullptr : &*match;
 }
 
-bool LeaderCoordinator::holdsDuty(Instant now) const noexcept
+bool LeaderCoordinator::holdsCoordinatorLease(Instant now) const noexcept
 {
-    return this->known.duty && this->known.duty->holder == this->options.vm && now < this->leaseUntil;
+    return this->latestSnapshot.coordinatorLease
+        && this->latestSnapshot.coordinatorLease->holder == this->options.vm && now < this->vmLeaseExpiresAt;
 }
 
 void LeaderCoordinator::onSnapshot(const LeadershipSnapshot& snapshot, Instant now)
 {
     // An answer that was on its way while this VM wrote the record may still hold the one before.
-    const bool older
-        = snapshot.askedAt < this->known.askedAt || snapshot.recordRevision < this->known.recordRevision;
-    if (this->readOnce && older)
+    const bool older = snapshot.askedAt < this->latestSnapshot.askedAt
+        || snapshot.recordRevision < this->latestSnapshot.recordRevision;
+    if (this->hasSnapshot && older)
         return;
-    const bool sameRecord = this->readOnce && this->known.record == snapshot.record;
-    this->noteStanding(snapshot.record, now);
-    this->known = snapshot;
-    if (snapshot.askedAt < this->dutyKnownFrom)
-        this->known.duty.reset();
-    this->readOnce = true;
-    this->doubted = false;
+    const bool sameRecord = this->hasSnapshot && this->latestSnapshot.record == snapshot.record;
+    this->updateClaimStart(snapshot.record, now);
+    this->latestSnapshot = snapshot;
+    if (snapshot.askedAt < this->leaseKnownFrom)
+        this->latestSnapshot.coordinatorLease.reset();
+    this->hasSnapshot = true;
+    this->recordMayBeStale = false;
     if (!sameRecord) {
-        this->forgetConfirmations();
+        this->clearConfirmations();
         if (const auto& record = snapshot.record)
-            this->note("leadership_read",
+            this->logEvent("leadership_read",
                 { { "primary", record->primary.string() }, { "term", textOf(record->term) },
                     { "claimed_term", textOf(record->claimedTerm) }, { "author", record->author.string() } });
     }
-    if (!this->known.duty || this->known.duty->holder != this->options.vm) {
+    if (!this->latestSnapshot.coordinatorLease
+        || this->latestSnapshot.coordinatorLease->holder != this->options.vm) {
         this->replacement.reset();
-        this->growth.reset();
+        this->logBaseline.reset();
     }
     if (snapshot.record)
-        this->noteClaim(*snapshot.record, now);
+        this->onClaimWritten(*snapshot.record, now);
     // The answer to the change that settled it may have been lost.
     const bool settled = snapshot.record && snapshot.record->isSettled();
     if (this->replacement && settled && !this->replacement->claimPending)
         this->replacement.reset();
-    if (snapshot.duty || snapshot.askedAt < this->dutyKnownFrom)
-        this->dutyFreeSince.reset();
-    else if (!this->dutyFreeSince)
-        this->dutyFreeSince = now;
+    if (snapshot.coordinatorLease || snapshot.askedAt < this->leaseKnownFrom)
+        this->leaseFreeSince.reset();
+    else if (!this->leaseFreeSince)
+        this->leaseFreeSince = now;
 }
 
-void LeaderCoordinator::onLeaseLost(Instant now)
+void LeaderCoordinator::onVmLeaseExpired(Instant now)
 {
-    this->dutyKnownFrom = now;
-    this->known.duty.reset();
-    this->dutyFreeSince.reset();
+    this->leaseKnownFrom = now;
+    this->latestSnapshot.coordinatorLease.reset();
+    this->leaseFreeSince.reset();
     this->replacement.reset();
-    this->growth.reset();
+    this->logBaseline.reset();
 }
 
 void LeaderCoordinator::onDirectory(UpstreamDirectory entries, Instant now)
@@ -106,8 +108,9 @@
         else
             this->members.push_back({ .entry = std::move(entry) });
     }
-    std::erase_if(this->missingSince,
-        [&](const auto& item) { return now >= item.second + this->options.settings.missingReplicaKept; });
+    std::erase_if(this->missingSince, [&](const auto& item) {
+        return now >= item.second + this->options.settings.missingReplicaRetention;
+    });
 }
 
 void LeaderCoordinator::onTraffic(const UpstreamName& upstream, Instant lastAnswer,
@@ -119,9 +122,9 @@
     member->lastAnswer = std::max(member->lastAnswer, lastAnswer);
     member->trafficFailingSince = failingSince;
     // What is told of one upstream is told of all of the group.
-    this->trafficContradicts = contradictsView;
+    this->trafficContradictsView = contradictsView;
     if (contradictsView)
-        this->doubted = true;
+        this->recordMayBeStale = true;
 }
 
 void LeaderCoordinator::onStatus(
@@ -131,7 +134,7 @@
     if (member == nullptr)
         return;
     member->lastAnswer = std::max(member->lastAnswer, now);
-    member->questionsFailingSince.reset();
+    member->queriesFailingSince.reset();
     if (askedAt < member->statusAt)
         return;
     const bool ledBefore = member->status && member->status->isPrimary && member->status->term == status.term;
@@ -139,123 +142,125 @@
         member->leadsSince = now;
     member->status = status;
     member->statusAt = askedAt;
-    const auto& record = this->known.record;
+    const auto& record = this->latestSnapshot.record;
     if (!record)
         return;
     // A newer primary leads, whatever the store or another replica said up to now.
     if (status.term > record->term) {
-        this->doubted = true;
-        this->disprovedAt = now;
+        this->recordMayBeStale = true;
+        this->viewDisprovedAt = now;
     }
     // A promotion ends the pause of every replica, and one that lags answers as before until it hears of the
     // new term. By then each view has ended; only what still holds may be prolonged.
-    const bool confirms = !status.isPrimary && status.term == record->term && status.heldTerm <= record->term
-        && upstream != record->primary && this->view().holds(now);
+    const bool confirms = !status.isPrimary && status.term == record->term
+        && status.pausedBelowTerm <= record->term && upstream != record->primary && this->view().holds(now);
     if (confirms)
-        this->noteConfirmation(*member, askedAt, now);
+        this->recordConfirmation(*member, askedAt, now);
     if (this->replacement && !status.isPrimary)
-        this->notePause(upstream, status, askedAt, now);
+        this->recordPause(upstream, status, askedAt, now);
     if (this->replacement && this->replacement->planned && upstream == record->primary && !status.isPrimary)
-        this->replacement->demotedAt = status.received;
+        this->replacement->demotedProgress = status.received;
 }
 
-void LeaderCoordinator::onSilence(const UpstreamName& upstream, Instant now)
+void LeaderCoordinator::onStatusFailed(const UpstreamName& upstream, Instant now)
 {
     auto* member = this->find(upstream);
     if (member == nullptr)
         return;
     // Traffic may have got an answer since the last question that failed.
-    const auto& since = member->questionsFailingSince;
+    const auto& since = member->queriesFailingSince;
     if (!since || *since <= member->lastAnswer)
-        member->questionsFailingSince = now;
+        member->queriesFailingSince = now;
 }
 
-void LeaderCoordinator::onWritten(const LeadershipRecord& record, std::uint64_t revision, Instant now)
+void LeaderCoordinator::onRecordWritten(const LeadershipRecord& record, std::uint64_t revision, Instant now)
 {
     // An answer may be overtaken by a reading of what came after it.
-    if (revision < this->known.recordRevision)
+    if (revision < this->latestSnapshot.recordRevision)
         return;
-    this->noteStanding(record, now);
-    this->known.record = record;
-    this->known.recordRevision = revision;
-    this->forgetConfirmations();
+    this->updateClaimStart(record, now);
+    this->latestSnapshot.record = record;
+    this->latestSnapshot.recordRevision = revision;
+    this->clearConfirmations();
     if (record.isSettled()) {
         this->replacement.reset();
         // The swap itself read the store at a moment after it was sent; the next snapshot renews the view.
-        this->doubted = true;
+        this->recordMayBeStale = true;
     }
-    this->noteClaim(record, now);
-    this->publishIfChanged(now);
+    this->onClaimWritten(record, now);
+    this->publishViewIfChanged(now);
 }
 
 void LeaderCoordinator::onPromotionRefused(const UpstreamName& upstream)
 {
-    this->promotions.noteOutcome(upstream);
+    this->pendingPromotions.recordOutcome(upstream);
     if (this->replacement && this->replacement->promoted == upstream)
-        this->giveUpPromotion();
+        this->abandonPromotion();
 }
 
-bool LeaderCoordinator::wantsSnapshot() const noexcept
+bool LeaderCoordinator::needsSnapshot() const noexcept
 {
-    return this->doubted || (this->known.record && !this->known.record->isSettled());
+    return this->recordMayBeStale
+        || (this->latestSnapshot.record && !this->latestSnapshot.record->isSettled());
 }
 
 std::vector<LeadershipAction> LeaderCoordinator::tick(Instant now)
 {
-    if (this->readOnce) {
-        this->takeDutyIfFree(now);
-        this->renewFromReplica(now);
-        if (this->holdsDuty(now)) {
-            if (!this->known.record)
-                this->bootstrap(now);
-            else if (this->known.record->isSettled())
-                this->watchPrimary(now);
+    if (this->hasSnapshot) {
+        this->acquireLeaseIfFree(now);
+        this->renewFromReplicas(now);
+        if (this->holdsCoordinatorLease(now)) {
+            if (!this->latestSnapshot.record)
+                this->adoptInitialPrimary(now);
+            else if (this->latestSnapshot.record->isSettled())
+                this->monitorPrimary(now);
             else
-                this->carryOn(now);
-            this->settleOthers(now);
+                this->continueReplacement(now);
+            this->reconcileUpstreams(now);
         }
     }
-    this->publishIfChanged(now);
+    this->publishViewIfChanged(now);
     return std::exchange(this->actions, {});
 }
 
 bool LeaderCoordinator::needsLease(Instant now) const
 {
-    const bool holds = this->known.duty && this->known.duty->holder == this->options.vm;
-    return holds || this->isTurnToTakeDuty(now);
+    const bool holds = this->latestSnapshot.coordinatorLease
+        && this->latestSnapshot.coordinatorLease->holder == this->options.vm;
+    return holds || this->isTurnToAcquireLease(now);
 }
 
-bool LeaderCoordinator::isTurnToTakeDuty(Instant now) const
+bool LeaderCoordinator::isTurnToAcquireLease(Instant now) const
 {
-    if (this->known.duty || !this->dutyFreeSince || now < this->noDutyBefore)
+    if (this->latestSnapshot.coordinatorLease || !this->leaseFreeSince || now < this->noAcquireBefore)
         return false;
-    return now >= *this->dutyFreeSince + this->options.settings.rankDelay * static_cast<int>(this->rank);
+    return now >= *this->leaseFreeSince + this->options.settings.rankDelay * static_cast<int>(this->rank);
 }
 
-void LeaderCoordinator::takeDutyIfFree(Instant now)
+void LeaderCoordinator::acquireLeaseIfFree(Instant now)
 {
-    if (!this->isTurnToTakeDuty(now) || now >= this->leaseUntil
-        || now < this->lastDutyTry + this->options.settings.storeRetry)
+    if (!this->isTurnToAcquireLease(now) || now >= this->vmLeaseExpiresAt
+        || now < this->lastAcquireAt + this->options.settings.storeRetryInterval)
         return;
-    this->lastDutyTry = now;
-    this->actions.emplace_back(TakeDuty {});
+    this->lastAcquireAt = now;
+    this->actions.emplace_back(AcquireCoordinatorLease {});
 }
 
-void LeaderCoordinator::ask(Member& member, Instant now)
+void LeaderCoordinator::askStatus(Member& member, Instant now)
 {
-    if (takeTurn(member, this->options.settings.askInterval, now))
+    if (markAskedIfDue(member, this->options.settings.askInterval, now))
         this->actions.emplace_back(AskStatus { member.entry.name });
 }
 
-bool LeaderCoordinator::takeTurn(Member& member, Duration interval, Instant now)
+bool LeaderCoordinator::markAskedIfDue(Member& member, Duration interval, Instant now)
 {
-    if (now < member.lastAsked + interval)
+    if (now < member.lastAskedAt + interval)
         return false;
-    member.lastAsked = now;
+    member.lastAskedAt = now;
     return true;
 }
 
-void LeaderCoordinator::bootstrap(Instant now)
+void LeaderCoordinator::adoptInitialPrimary(Instant now)
 {
     for (auto& member : this->members) {
         if (member.status && member.status->isPrimary
@@ -264,102 +269,104 @@
             return;
         }
         if (member.entry.claimsPrimary)
-            this->ask(member, now);
+            this->askStatus(member, now);
     }
 }
 
-void LeaderCoordinator::write(LeadershipRecord record, Instant now)
+void LeaderCoordinator::writeRecord(LeadershipRecord record, Instant now)
 {
-    if (now < this->lastWrite + this->options.settings.storeRetry)
+    if (now < this->lastWriteAt + this->options.settings.storeRetryInterval)
         return;
-    this->lastWrite = now;
+    this->lastWriteAt = now;
     record.author = this->options.vm;
     record.changeId = this->options.vm.string() + '/' + std::to_string(this->options.seed) + '/'
-        + std::to_string(++this->changes);
-    this->lastChange = record.changeId;
-    this->lastExpected = this->known.recordRevision;
-    this->actions.emplace_back(WriteLeadership { .record = std::move(record),
-        .expectedRevision = this->known.recordRevision,
-        .dutyRevision = this->duty().revision });
+        + std::to_string(++this->changeCount);
+    this->lastChangeId = record.changeId;
+    this->lastExpectedRevision = this->latestSnapshot.recordRevision;
+    this->actions.emplace_back(WriteLeadershipRecord { .record = std::move(record),
+        .expectedRevision = this->latestSnapshot.recordRevision,
+        .leaseRevision = this->coordinatorLease().revision });
 }
 
-bool LeaderCoordinator::knowsRecord() const noexcept
+bool LeaderCoordinator::hasNoPendingWrite() const noexcept
 {
-    return this->known.recordRevision > this->lastExpected;
+    return this->latestSnapshot.recordRevision > this->lastExpectedRevision;
 }
 
 void LeaderCoordinator::writeLeader(const UpstreamName& leader, Term term, Instant now)
 {
-    this->write({ .term = term, .primary = leader, .claimedTerm = term }, now);
+    this->writeRecord({ .term = term, .primary = leader, .claimedTerm = term }, now);
 }
 
-void LeaderCoordinator::watchPrimary(Instant now)
+void LeaderCoordinator::monitorPrimary(Instant now)
 {
     const auto& record = this->record();
     auto* primary = this->find(record.primary);
-    if (this->adoptLeader(now))
+    if (this->replaceByNewerLeader(now))
         return;
     if (primary == nullptr)
-        return this->claim(false, "the primary is gone from the directory", now);
+        return this->claimNextTerm(false, "the primary is gone from the directory", now);
     if (primary->entry.draining)
-        return this->claim(true, "the primary is leaving", now);
-    const bool resigned
+        return this->claimNextTerm(true, "the primary is leaving", now);
+    const bool steppedDown
         = primary->status && !primary->status->isPrimary && primary->status->term <= record.term;
-    if (resigned && primary->statusAt > this->known.askedAt - this->options.settings.viewLifetime)
-        return this->claim(false, "the primary says that it is a replica", now);
-    if (!this->primaryIsSilent(now)) {
+    if (steppedDown && primary->statusAt > this->latestSnapshot.askedAt - this->options.settings.viewLifetime)
+        return this->claimNextTerm(false, "the primary says that it is a replica", now);
+    if (!this->isPrimaryUnresponsive(now)) {
         // A claim that was never written has come to nothing.
         this->replacement.reset();
-        this->growth.reset();
+        this->logBaseline.reset();
         return;
     }
-    if (this->logGrows(now)) {
+    if (this->isReplicaLogGrowing(now)) {
         // Replicas receive what the primary writes, so it serves others and only this VM is cut off from it.
-        this->note("duty_yielded",
+        this->logEvent("duty_yielded",
             { { "primary", record.primary.string() }, { "reason", "its log grows elsewhere" } });
-        this->noDutyBefore = now + this->options.settings.yieldPause;
-        this->growth.reset();
-        this->actions.emplace_back(YieldDuty { this->duty().revision });
-        this->known.duty.reset();
+        this->noAcquireBefore = now + this->options.settings.leaseReacquireDelay;
+        this->logBaseline.reset();
+        this->actions.emplace_back(ReleaseCoordinatorLease { this->coordinatorLease().revision });
+        this->latestSnapshot.coordinatorLease.reset();
         return;
     }
-    const bool compared = this->growth && now >= this->growth->since + this->options.settings.growthTime * 2;
-    if (compared && now >= primary->lastAnswer + this->options.settings.deadAfter)
-        this->claim(false, "the primary does not answer", now);
+    const bool compared
+        = this->logBaseline && now >= this->logBaseline->since + this->options.settings.logGrowthWindow * 2;
+    if (compared && now >= primary->lastAnswer + this->options.settings.primaryTimeout)
+        this->claimNextTerm(false, "the primary does not answer", now);
 }
 
-bool LeaderCoordinator::primaryIsSilent(Instant now)
+bool LeaderCoordinator::isPrimaryUnresponsive(Instant now)
 {
     auto& primary = *this->find(this->record().primary);
-    const bool quiet = now >= primary.lastAnswer + this->options.settings.quietTime;
+    const bool quiet = now >= primary.lastAnswer + this->options.settings.primaryIdleTime;
     const bool failing = primary.isFailing();
     if (quiet || failing)
-        this->ask(primary, now);
+        this->askStatus(primary, now);
     return failing && now >= primary.lastAnswer + this->options.settings.askInterval * 2;
 }
 
-bool LeaderCoordinator::logGrows(Instant now)
+bool LeaderCoordinator::isReplicaLogGrowing(Instant now)
 {
-    if (!this->growth)
-        this->growth = std::make_unique<Growth>(Growth { .since = now });
+    if (!this->logBaseline)
+        this->logBaseline = std::make_unique<LogBaseline>(LogBaseline { .since = now });
     bool grows = false;
     for (auto& member : this->members) {
-        if (member.entry.name == this->known.record->primary)
+        if (member.entry.name == this->latestSnapshot.record->primary)
             continue;
-        this->ask(member, now);
-        if (!member.status || member.statusAt < this->growth->since)
+        this->askStatus(member, now);
+        if (!member.status || member.statusAt < this->logBaseline->since)
             continue;
         const auto first
-            = this->growth->received.try_emplace(member.entry.name, member.status->received).first;
+            = this->logBaseline->received.try_emplace(member.entry.name, member.status->received).first;
         grows = grows || member.status->received > first->second;
     }
     return grows;
 }
 
-void LeaderCoordinator::note(std::string_view event, std::vector<std::pair<std::string, std::string>> fields)
+void LeaderCoordinator::logEvent(
+    std::string_view event, std::vector<std::pair<std::string, std::string>> fields)
 {
     this->actions.emplace_back(
-        LeadershipNote { .event = std::string { event }, .fields = std::move(fields) });
+        LogLeadershipEvent { .event = std::string { event }, .fields = std::move(fields) });
 }
 
 } // namespace cyclamendrift
--- a/src/leadership/pending_promotions.cpp
+++ b/src/leadership/pending_promotions.cpp
@@ -4,20 +4,19 @@
 
 namespace cyclamendrift {
 
-void PendingPromotions::noteSent(const UpstreamName& upstream, Instant now)
+void PendingPromotions::recordSent(const UpstreamName& upstream, Instant now)
 {
-    std::erase_if(
-        this->sent, [&](const auto& entry) { return now >= entry.second.last + this->settledAfter; });
+    std::erase_if(this->sent, [&](const auto& entry) { return now >= entry.second.last + this->settleTime; });
     const auto [entry, first] = this->sent.try_emplace(upstream);
     entry->second = { .last = now, .repeated = !first };
 }
 
-void PendingPromotions::noteFormer(const UpstreamName& upstream, Instant now)
+void PendingPromotions::recordInherited(const UpstreamName& upstream, Instant now)
 {
     this->sent[upstream] = { .last = now, .repeated = true };
 }
 
-void PendingPromotions::noteOutcome(const UpstreamName& upstream)
+void PendingPromotions::recordOutcome(const UpstreamName& upstream)
 {
     // Which of several promotions an outcome belongs to is not known.
     const auto entry = this->sent.find(upstream);
@@ -25,10 +24,10 @@
         this->sent.erase(entry);
 }
 
-bool PendingPromotions::anyBut(const UpstreamName& upstream, Instant now) const
+bool PendingPromotions::isOtherPending(const UpstreamName& upstream, Instant now) const
 {
     return std::any_of(this->sent.begin(), this->sent.end(), [&](const auto& entry) {
-        return entry.first != upstream && now < entry.second.last + this->settledAfter;
+        return entry.first != upstream && now < entry.second.last + this->settleTime;
     });
 }
 
--- a/src/leadership/promotion.cpp
+++ b/src/leadership/promotion.cpp
@@ -9,18 +9,18 @@
 // once would make two primaries, so one is sent only for the replica that the record names.
 namespace cyclamendrift {
 
-bool LeaderCoordinator::allPaused() const
+bool LeaderCoordinator::areAllReplicasPaused() const
 {
     return std::all_of(this->members.begin(), this->members.end(), [this](const Member& member) {
         return this->isPrimary(member.entry.name) || this->replacement->paused.contains(member.entry.name);
     });
 }
 
-std::optional<LeaderCoordinator::Leader> LeaderCoordinator::newestLeader(Term least) const
+std::optional<LeaderCoordinator::Leader> LeaderCoordinator::newestLeader(Term minTerm) const
 {
     std::optional<Leader> newest;
     for (const auto& member : this->members) {
-        if (!member.status || !member.status->isPrimary || member.status->term < least)
+        if (!member.status || !member.status->isPrimary || member.status->term < minTerm)
             continue;
         if (!newest || member.status->term > newest->term)
             newest = Leader {
@@ -30,16 +30,16 @@
     return newest;
 }
 
-std::vector<LeaderCoordinator::Candidate> LeaderCoordinator::candidates(Instant now)
+std::vector<LeaderCoordinator::Candidate> LeaderCoordinator::findCandidates(Instant now)
 {
     const auto& refused = this->replacement->refused;
     const auto& paused = this->replacement->paused;
     // One that is known to have been paused all along suffices to end every view; which one is promoted does
     // not matter for that.
-    const bool viewsEnded = std::any_of(
-        paused.begin(), paused.end(), [this](const auto& item) { return this->outlastedViews(item.second); });
+    const bool viewsExpired = std::any_of(paused.begin(), paused.end(),
+        [this](const auto& item) { return this->isPausedForViewLifetime(item.second); });
     std::vector<Candidate> found;
-    if (!viewsEnded && now >= this->viewsEndAt(now))
+    if (!viewsExpired && now >= this->oldViewsExpireAt(now))
         return found;
     for (const auto& [name, pause] : paused) {
         const auto* member = this->find(name);
@@ -51,138 +51,141 @@
     return found;
 }
 
-std::optional<LeaderCoordinator::Candidate> LeaderCoordinator::pick(Instant now)
+std::optional<LeaderCoordinator::Candidate> LeaderCoordinator::selectCandidate(Instant now)
 {
-    auto found = this->candidates(now);
+    auto found = this->findCandidates(now);
     // When every one was refused, they may be running again by now.
-    if (found.empty() && now >= this->viewsEndAt(now))
+    if (found.empty() && now >= this->oldViewsExpireAt(now))
         this->replacement->refused.clear();
-    std::erase_if(found,
-        [this, now](const Candidate& candidate) { return this->promotions.anyBut(candidate.name, now); });
+    std::erase_if(found, [this, now](const Candidate& candidate) {
+        return this->pendingPromotions.isOtherPending(candidate.name, now);
+    });
     const auto best = std::max_element(found.begin(), found.end(),
         [](const Candidate& left, const Candidate& right) { return left.received < right.received; });
     return best == found.end() ? std::nullopt : std::optional { *best };
 }
 
-void LeaderCoordinator::choose(Instant now)
+void LeaderCoordinator::startPromotion(Instant now)
 {
     auto& replacement = *this->replacement;
     // Replicas receive nothing while they are paused, so the choice can be written while views end.
-    if (!this->allPaused() && now < replacement.claimedAt + this->options.settings.viewLifetime)
+    if (!this->areAllReplicasPaused() && now < replacement.claimedAt + this->options.settings.viewLifetime)
         return;
-    const auto best = this->pick(now);
+    const auto best = this->selectCandidate(now);
     if (!best)
         return;
     const auto& record = this->record();
-    if (record.chosen != best->name || !this->knowsRecord()) {
-        this->write({ .term = record.term,
-                        .primary = record.primary,
-                        .claimedTerm = record.claimedTerm,
-                        .chosen = best->name },
+    if (record.chosen != best->name || !this->hasNoPendingWrite()) {
+        this->writeRecord({ .term = record.term,
+                              .primary = record.primary,
+                              .claimedTerm = record.claimedTerm,
+                              .chosen = best->name },
             now);
         return;
     }
-    if (now < this->viewsEndAt(now))
+    if (now < this->oldViewsExpireAt(now))
         return;
     replacement.promoted = best->name;
     replacement.promotedSince = now;
-    this->note(
+    this->logEvent(
         "primary_chosen", { { "upstream", best->name.string() }, { "received", textOf(best->received) } });
-    this->promote(now);
+    this->sendPromotion(now);
 }
 
-void LeaderCoordinator::promote(Instant now)
+void LeaderCoordinator::sendPromotion(Instant now)
 {
     const auto& settings = this->options.settings;
     auto& replacement = *this->replacement;
     const auto* promoted = this->find(replacement.promoted);
-    if (promoted == nullptr || now >= replacement.promotedSince + settings.promoteTimeout) {
-        this->giveUpPromotion();
+    if (promoted == nullptr || now >= replacement.promotedSince + settings.promotionTimeout) {
+        this->abandonPromotion();
         return;
     }
     // One that has fallen silent would only be waited for longer.
-    const bool answers = promoted->lastAnswer >= replacement.lastPromote;
-    if (answers && now >= replacement.lastPromote + settings.promoteInterval) {
-        replacement.lastPromote = now;
-        this->promotions.noteSent(replacement.promoted, now);
+    const bool answers = promoted->lastAnswer >= replacement.lastPromotionAt;
+    if (answers && now >= replacement.lastPromotionAt + settings.promotionRetryInterval) {
+        replacement.lastPromotionAt = now;
+        this->pendingPromotions.recordSent(replacement.promoted, now);
         this->actions.emplace_back(
-            PromoteUpstream { .upstream = replacement.promoted, .token = this->duty().token });
+            PromoteUpstream { .upstream = replacement.promoted, .token = this->coordinatorLease().token });
     }
-    this->askAll(now);
+    this->askAllMembers(now);
 }
 
-void LeaderCoordinator::askAll(Instant now)
+void LeaderCoordinator::askAllMembers(Instant now)
 {
     for (auto& member : this->members)
-        this->ask(member, now);
+        this->askStatus(member, now);
 }
 
-void LeaderCoordinator::giveUpPromotion()
+void LeaderCoordinator::abandonPromotion()
 {
     this->replacement->refused.push_back(std::exchange(this->replacement->promoted, UpstreamName {}));
 }
 
-void LeaderCoordinator::finish(const Leader& leader, Instant now)
+void LeaderCoordinator::completeReplacement(const Leader& leader, Instant now)
 {
-    if (this->promotions.anyBut(leader.name, now) || now < this->viewsEndBefore(leader)) {
-        this->askAll(now);
+    if (this->pendingPromotions.isOtherPending(leader.name, now)
+        || now < this->oldViewsExpireAtUnder(leader)) {
+        this->askAllMembers(now);
         return;
     }
-    this->promotions.noteOutcome(leader.name);
-    if (std::exchange(this->replacement->settledOn, leader.name) != leader.name)
-        this->note(
+    this->pendingPromotions.recordOutcome(leader.name);
+    if (std::exchange(this->replacement->attemptedPrimary, leader.name) != leader.name)
+        this->logEvent(
             "primary_replaced", { { "primary", leader.name.string() }, { "term", textOf(leader.term) } });
     this->writeLeader(leader.name, leader.term, now);
 }
 
-bool LeaderCoordinator::adoptLeader(Instant now)
+bool LeaderCoordinator::replaceByNewerLeader(Instant now)
 {
     const auto& record = this->record();
     const auto leader = this->newestLeader(record.term);
     if (!leader || leader->term == record.term) {
-        const bool heardOf = this->trafficContradicts
+        const bool newerTermSeen = this->trafficContradictsView
             || std::any_of(this->members.begin(), this->members.end(), [&record](const Member& member) {
                    return member.status && member.status->term > record.term;
                });
-        if (heardOf)
-            this->askAll(now);
+        if (newerTermSeen)
+            this->askAllMembers(now);
         return false;
     }
     // Whoever reads the claim gives up its view of the old primary.
     if (leader->name == record.primary)
         this->writeLeader(leader->name, leader->term, now);
     else
-        this->claim(false, "another upstream leads", now);
+        this->claimNextTerm(false, "another upstream leads", now);
     return true;
 }
 
-Instant LeaderCoordinator::viewsEndBefore(const Leader& leader) const
+Instant LeaderCoordinator::oldViewsExpireAtUnder(const Leader& leader) const
 {
     const auto& settings = this->options.settings;
     const auto& replacement = *this->replacement;
     // A holder waits before it promotes what it has chosen.
-    const bool waited = replacement.lastPromote != Instant::min() || leader.name == replacement.inherited;
-    if (waited || this->isPrimary(leader.name))
+    const bool coordinatorWaited
+        = replacement.lastPromotionAt != Instant::min() || leader.name == replacement.inheritedChoice;
+    if (coordinatorWaited || this->isPrimary(leader.name))
         return Instant::min();
     // One replica's word prolongs a view for a moment after the store was read, that of all of them until one
     // has become the leader.
-    const auto claimed = this->claimStandsSince.value_or(replacement.claimedAt);
-    return std::max(claimed + settings.loneReplicaTime, leader.since) + settings.viewLifetime
+    const auto claimed = this->claimHeldSince.value_or(replacement.claimedAt);
+    return std::max(claimed + settings.singleReplicaPeriod, leader.since) + settings.viewLifetime
         + settings.viewMargin;
 }
 
-void LeaderCoordinator::noteStanding(const std::optional<LeadershipRecord>& next, Instant now)
+void LeaderCoordinator::updateClaimStart(const std::optional<LeadershipRecord>& next, Instant now)
 {
     if (!next || next->isSettled()) {
-        this->claimStandsSince.reset();
+        this->claimHeldSince.reset();
         return;
     }
     // A change of this VM followed what it knew; before one of another VM the claim may have been withdrawn.
-    const auto& previous = this->known.record;
-    const bool unbroken = this->claimStandsSince && previous
-        && (next->changeId == previous->changeId || next->changeId == this->lastChange);
+    const auto& previous = this->latestSnapshot.record;
+    const bool unbroken = this->claimHeldSince && previous
+        && (next->changeId == previous->changeId || next->changeId == this->lastChangeId);
     if (!unbroken)
-        this->claimStandsSince = now;
+        this->claimHeldSince = now;
 }
 
 } // namespace cyclamendrift
--- a/src/leadership/replacement.cpp
+++ b/src/leadership/replacement.cpp
@@ -16,30 +16,30 @@
 
 } // namespace
 
-void LeaderCoordinator::claim(bool planned, std::string_view reason, Instant now)
+void LeaderCoordinator::claimNextTerm(bool planned, std::string_view reason, Instant now)
 {
     const auto& record = this->record();
-    const bool someoneElse = std::any_of(
+    const bool hasOtherUpstream = std::any_of(
         this->members.begin(), this->members.end(), [&record](const Member& member) {
             const bool leads = member.status && member.status->isPrimary && member.status->term > record.term;
             return member.entry.name != record.primary && (leads || !member.entry.draining);
         });
-    if (!someoneElse)
+    if (!hasOtherUpstream)
         return;
-    if (now < this->lastWrite + this->options.settings.storeRetry)
+    if (now < this->lastWriteAt + this->options.settings.storeRetryInterval)
         return;
     const auto term = next(record.term);
     // A claim whose write has no answer yet is the same one.
     if (!this->replacement)
-        this->note("replacing_primary",
+        this->logEvent("replacing_primary",
             { { "primary", record.primary.string() }, { "term", textOf(term) },
                 { "reason", std::string { reason } } });
     this->replacement = std::make_unique<Replacement>(Replacement { .term = term, .planned = planned });
-    this->growth.reset();
-    this->write({ .term = record.term, .primary = record.primary, .claimedTerm = term }, now);
+    this->logBaseline.reset();
+    this->writeRecord({ .term = record.term, .primary = record.primary, .claimedTerm = term }, now);
 }
 
-void LeaderCoordinator::carryOn(Instant now)
+void LeaderCoordinator::continueReplacement(Instant now)
 {
     const auto& record = this->record();
     // A claim of another VM, or of an earlier turn of this one, is taken over by writing it anew: from then
@@ -50,67 +50,68 @@
             .term = record.claimedTerm, .planned = primary != nullptr && primary->entry.draining });
     }
     if (this->replacement->claimPending) {
-        this->write({ .term = record.term,
-                        .primary = record.primary,
-                        .claimedTerm = record.claimedTerm,
-                        .chosen = record.chosen },
+        this->writeRecord({ .term = record.term,
+                              .primary = record.primary,
+                              .claimedTerm = record.claimedTerm,
+                              .chosen = record.chosen },
             now);
         return;
     }
     if (const auto leader = this->newestLeader(record.claimedTerm))
-        return this->finish(*leader, now);
-    if (this->primaryIsBack(now)) {
-        this->standDown(now);
+        return this->completeReplacement(*leader, now);
+    if (this->hasPrimaryReturned(now)) {
+        this->cancelReplacement(now);
         return;
     }
-    if (!this->replacement->settledOn.empty()) {
+    if (!this->replacement->attemptedPrimary.empty()) {
         // Whether the record still holds the claim is not known any more; promoting now could make two
         // primaries.
         this->replacement.reset();
         return;
     }
     if (this->replacement->planned)
-        this->demoteFirst(now);
+        this->demoteOldPrimary(now);
     this->pauseReplicas(now);
     if (this->replacement->promoted.empty())
-        this->choose(now);
+        this->startPromotion(now);
     else
-        this->promote(now);
+        this->sendPromotion(now);
 }
 
-void LeaderCoordinator::noteClaim(const LeadershipRecord& record, Instant now)
+void LeaderCoordinator::onClaimWritten(const LeadershipRecord& record, Instant now)
 {
-    if (!this->replacement || record.isSettled() || record.changeId != this->lastChange)
+    if (!this->replacement || record.isSettled() || record.changeId != this->lastChangeId)
         return;
     if (!std::exchange(this->replacement->claimPending, false))
         return;
     this->replacement->claimedAt = now;
-    this->replacement->inherited = record.chosen;
+    this->replacement->inheritedChoice = record.chosen;
     // Whoever wrote that choice may have promoted it until this claim took its place.
     if (!record.chosen.empty())
-        this->promotions.noteFormer(record.chosen, now);
+        this->pendingPromotions.recordInherited(record.chosen, now);
 }
 
-bool LeaderCoordinator::primaryIsBack(Instant now)
+bool LeaderCoordinator::hasPrimaryReturned(Instant now)
 {
     const auto& record = this->record();
     const auto& replacement = *this->replacement;
     auto* primary = this->find(record.primary);
-    const bool begun = replacement.lastPromote != Instant::min();
-    if (primary == nullptr || replacement.planned || begun || this->promotions.anyBut(record.primary, now))
+    const bool promotionSent = replacement.lastPromotionAt != Instant::min();
+    if (primary == nullptr || replacement.planned || promotionSent
+        || this->pendingPromotions.isOtherPending(record.primary, now))
         return false;
-    this->ask(*primary, now);
+    this->askStatus(*primary, now);
     return primary->status && primary->status->isPrimary && primary->statusAt > replacement.claimedAt
         && now < primary->statusAt + this->options.settings.viewLifetime;
 }
 
-void LeaderCoordinator::standDown(Instant now)
+void LeaderCoordinator::cancelReplacement(Instant now)
 {
     // Nobody was promoted under this claim, and the old primary is there with its whole log: keeping it loses
     // nothing.
     const auto& record = this->record();
-    if (std::exchange(this->replacement->settledOn, record.primary) != record.primary)
-        this->note("primary_is_back", { { "primary", record.primary.string() } });
+    if (std::exchange(this->replacement->attemptedPrimary, record.primary) != record.primary)
+        this->logEvent("primary_is_back", { { "primary", record.primary.string() } });
     for (const auto& member : this->members) {
         if (member.entry.name != record.primary)
             this->actions.emplace_back(ResumeReplica { member.entry.name });
@@ -118,12 +119,12 @@
     this->writeLeader(record.primary, record.term, now);
 }
 
-void LeaderCoordinator::demoteFirst(Instant now)
+void LeaderCoordinator::demoteOldPrimary(Instant now)
 {
     auto* primary = this->find(this->record().primary);
-    if (primary == nullptr || this->replacement->demotedAt)
+    if (primary == nullptr || this->replacement->demotedProgress)
         return;
-    if (takeTurn(*primary, this->options.settings.askInterval, now))
+    if (markAskedIfDue(*primary, this->options.settings.askInterval, now))
         this->actions.emplace_back(
             DemotePrimary { .upstream = primary->entry.name, .term = this->replacement->term });
 }
@@ -138,18 +139,18 @@
             pause != this->replacement->paused.end()) {
             // It is asked once more at the end, as a restart in between would not show otherwise.
             const bool due = now >= pause->second.since + settings.viewLifetime;
-            if (due && !this->outlastedViews(pause->second))
-                this->ask(member, now);
+            if (due && !this->isPausedForViewLifetime(pause->second))
+                this->askStatus(member, now);
             continue;
         }
-        if (!takeTurn(member, settings.askInterval, now))
+        if (!markAskedIfDue(member, settings.askInterval, now))
             continue;
         // A replica that still receives what the demoted primary has written is left to it for a moment.
-        const auto& demoted = this->replacement->demotedAt;
-        const bool waits
-            = this->replacement->planned && now < this->replacement->claimedAt + settings.catchUpTime;
+        const auto& demoted = this->replacement->demotedProgress;
+        const bool mayCatchUp
+            = this->replacement->planned && now < this->replacement->claimedAt + settings.catchUpTimeout;
         const bool caughtUp = demoted && member.status && member.status->received >= *demoted;
-        if (waits && !caughtUp)
+        if (mayCatchUp && !caughtUp)
             this->actions.emplace_back(AskStatus { member.entry.name });
         else
             this->actions.emplace_back(
@@ -157,12 +158,12 @@
     }
 }
 
-void LeaderCoordinator::notePause(
+void LeaderCoordinator::recordPause(
     const UpstreamName& upstream, const UpstreamStatus& status, Instant askedAt, Instant now)
 {
     auto& paused = this->replacement->paused;
     // A restart ends a pause, and the replica may have vouched for the old primary since. It is paused anew.
-    if (status.heldTerm < this->replacement->term) {
+    if (status.pausedBelowTerm < this->replacement->term) {
         paused.erase(upstream);
         return;
     }
@@ -171,40 +172,40 @@
     pause.lastSeen = askedAt;
 }
 
-bool LeaderCoordinator::outlastedViews(const Pause& pause) const noexcept
+bool LeaderCoordinator::isPausedForViewLifetime(const Pause& pause) const noexcept
 {
     return pause.lastSeen >= pause.since + this->options.settings.viewLifetime;
 }
 
-bool LeaderCoordinator::allOutlastedViews(Instant now) const
+bool LeaderCoordinator::areAllPausedForViewLifetime(Instant now) const
 {
     const auto& paused = this->replacement->paused;
-    return !this->missesReplica(now)
+    return !this->hasMissingReplica(now)
         && std::all_of(this->members.begin(), this->members.end(), [&](const Member& member) {
                const auto pause = paused.find(member.entry.name);
                return this->isPrimary(member.entry.name)
-                   || (pause != paused.end() && this->outlastedViews(pause->second));
+                   || (pause != paused.end() && this->isPausedForViewLifetime(pause->second));
            });
 }
 
-Instant LeaderCoordinator::viewsEndAt(Instant now) const
+Instant LeaderCoordinator::oldViewsExpireAt(Instant now) const
 {
     const auto& settings = this->options.settings;
     const auto& replacement = *this->replacement;
     const auto lifetime = settings.viewLifetime + settings.viewMargin;
     // A replica that could not be paused may alone vouch for the old primary to VMs that the store turns
     // away.
-    if (!this->allOutlastedViews(now))
-        return replacement.claimedAt + settings.loneReplicaTime + lifetime;
+    if (!this->areAllPausedForViewLifetime(now))
+        return replacement.claimedAt + settings.singleReplicaPeriod + lifetime;
     auto from = replacement.claimedAt;
     for (const auto& [name, pause] : replacement.paused)
         from = std::max(from, pause.since);
     return from + lifetime;
 }
 
-void LeaderCoordinator::settleOthers(Instant now)
+void LeaderCoordinator::reconcileUpstreams(Instant now)
 {
-    const auto& record = this->known.record;
+    const auto& record = this->latestSnapshot.record;
     if (!record || !record->isSettled())
         return;
     for (auto& member : this->members) {
@@ -213,10 +214,10 @@
         const bool oldPrimary
             = member.status && member.status->isPrimary && member.status->term < record->term;
         const bool leftPaused
-            = member.status && !member.status->isPrimary && member.status->heldTerm > Term {};
+            = member.status && !member.status->isPrimary && member.status->pausedBelowTerm > Term {};
         if (member.status && !oldPrimary && !leftPaused)
             continue;
-        if (!takeTurn(member, this->options.settings.settleInterval, now))
+        if (!markAskedIfDue(member, this->options.settings.reconcileInterval, now))
             continue;
         if (!member.status)
             this->actions.emplace_back(AskStatus { member.entry.name });
--- a/src/leadership/view_renewal.cpp
+++ b/src/leadership/view_renewal.cpp
@@ -15,7 +15,7 @@
 // How often a view that did not change is handed on again with its new end.
 constexpr Duration publishInterval = std::chrono::milliseconds { 250 };
 
-std::string ageText(Instant since, Instant now)
+std::string formatAge(Instant since, Instant now)
 {
     if (since == Instant::min())
         return "none";
@@ -40,35 +40,36 @@
 LeaderView LeaderCoordinator::view() const
 {
     LeaderView view;
-    if (!this->readOnce || !this->known.record)
+    if (!this->hasSnapshot || !this->latestSnapshot.record)
         return view;
     const auto& record = this->record();
     view.phase = record.isSettled() ? LeaderView::Phase::Led : LeaderView::Phase::Changing;
     view.primary = record.primary;
     view.term = record.term;
-    const auto vouchedAt = std::max(this->known.askedAt, this->replicasVouchedAt);
-    if (vouchedAt > this->disprovedAt)
-        view.validUntil = vouchedAt + this->options.settings.viewLifetime;
+    const auto viewConfirmedAt = std::max(this->latestSnapshot.askedAt, this->replicasConfirmedAt);
+    if (viewConfirmedAt > this->viewDisprovedAt)
+        view.validUntil = viewConfirmedAt + this->options.settings.viewLifetime;
     return view;
 }
 
-std::optional<Instant> LeaderCoordinator::vouchedAt(Instant now) const
+std::optional<Instant> LeaderCoordinator::viewConfirmedAt(Instant now) const
 {
     if (!this->view().holds(now))
         return std::nullopt;
-    return std::max(this->known.askedAt, this->replicasVouchedAt);
+    return std::max(this->latestSnapshot.askedAt, this->replicasConfirmedAt);
 }
 
-bool LeaderCoordinator::missesReplica(Instant now) const
+bool LeaderCoordinator::hasMissingReplica(Instant now) const
 {
     return std::any_of(this->missingSince.begin(), this->missingSince.end(), [&](const auto& item) {
-        return !this->isPrimary(item.first) && now < item.second + this->options.settings.missingReplicaKept;
+        return !this->isPrimary(item.first)
+            && now < item.second + this->options.settings.missingReplicaRetention;
     });
 }
 
-Instant LeaderCoordinator::confirmedByAll(Instant now) const
+Instant LeaderCoordinator::allReplicasConfirmedAt(Instant now) const
 {
-    if (this->missesReplica(now))
+    if (this->hasMissingReplica(now))
         return Instant::min();
     auto earliest = Instant::max();
     for (const auto& member : this->members) {
@@ -78,118 +79,121 @@
     return earliest;
 }
 
-void LeaderCoordinator::noteConfirmation(Member& replica, Instant askedAt, Instant now)
+void LeaderCoordinator::recordConfirmation(Member& replica, Instant askedAt, Instant now)
 {
     replica.confirmedAt = std::max(replica.confirmedAt, askedAt);
-    const bool loneWordCounts = askedAt < this->known.askedAt + this->options.settings.loneReplicaTime;
-    const auto confirmed = loneWordCounts ? replica.confirmedAt : this->confirmedByAll(now);
-    if (confirmed <= this->replicasVouchedAt)
+    const bool oneReplicaSuffices
+        = askedAt < this->latestSnapshot.askedAt + this->options.settings.singleReplicaPeriod;
+    const auto confirmed = oneReplicaSuffices ? replica.confirmedAt : this->allReplicasConfirmedAt(now);
+    if (confirmed <= this->replicasConfirmedAt)
         return;
-    this->replicasVouchedAt = confirmed;
-    this->vouchedBy = replica.entry.name;
+    this->replicasConfirmedAt = confirmed;
+    this->confirmedBy = replica.entry.name;
     ++this->counts.replicaConfirmations;
 }
 
-void LeaderCoordinator::onSiblingView(std::uint64_t recordRevision, Instant vouchedAt)
+void LeaderCoordinator::onSiblingView(std::uint64_t recordRevision, Instant viewConfirmedAt)
 {
-    if (recordRevision != this->known.recordRevision || vouchedAt <= this->siblingVouchedAt)
+    if (recordRevision != this->latestSnapshot.recordRevision || viewConfirmedAt <= this->siblingConfirmedAt)
         return;
-    this->siblingVouchedAt = vouchedAt;
-    if (vouchedAt <= this->replicasVouchedAt)
+    this->siblingConfirmedAt = viewConfirmedAt;
+    if (viewConfirmedAt <= this->replicasConfirmedAt)
         return;
-    this->replicasVouchedAt = vouchedAt;
-    this->vouchedBy = UpstreamName {};
+    this->replicasConfirmedAt = viewConfirmedAt;
+    this->confirmedBy = UpstreamName {};
 }
 
-void LeaderCoordinator::forgetConfirmations() noexcept
+void LeaderCoordinator::clearConfirmations() noexcept
 {
-    this->replicasVouchedAt = Instant::min();
-    this->siblingVouchedAt = Instant::min();
+    this->replicasConfirmedAt = Instant::min();
+    this->siblingConfirmedAt = Instant::min();
     for (auto& member : this->members)
         member.confirmedAt = Instant::min();
 }
 
-bool LeaderCoordinator::isSilent(Instant now) const noexcept
+bool LeaderCoordinator::needsReplicaConfirmation(Instant now) const noexcept
 {
     const auto& settings = this->options.settings;
-    if (!this->vouchesForSiblings)
-        return now >= std::max(this->known.askedAt, this->siblingVouchedAt) + settings.siblingSilence;
-    const bool ownReading = this->known.source == ViewSource::Store;
-    return now >= this->known.askedAt + (ownReading ? settings.ownReadingSilence : settings.storeSilence);
+    if (!this->confirmsForSiblings)
+        return now >= std::max(this->latestSnapshot.askedAt, this->siblingConfirmedAt)
+            + settings.siblingConfirmationMaxAge;
+    const bool ownReading = this->latestSnapshot.source == ViewSource::Store;
+    return now >= this->latestSnapshot.askedAt
+        + (ownReading ? settings.ownSnapshotMaxAge : settings.siblingSnapshotMaxAge);
 }
 
-void LeaderCoordinator::renewFromReplica(Instant now)
+void LeaderCoordinator::renewFromReplicas(Instant now)
 {
     const auto& settings = this->options.settings;
     // What has ended cannot be prolonged.
-    if (!this->isSilent(now) || !this->view().holds(now))
+    if (!this->needsReplicaConfirmation(now) || !this->view().holds(now))
         return;
     for (auto& member : this->members) {
-        const bool due = now >= member.confirmedAt + settings.confirmInterval;
+        const bool due = now >= member.confirmedAt + settings.confirmationInterval;
         if (due && !this->isPrimary(member.entry.name))
-            this->ask(member, now);
+            this->askStatus(member, now);
     }
 }
 
-void LeaderCoordinator::publishIfChanged(Instant now)
+void LeaderCoordinator::publishViewIfChanged(Instant now)
 {
-    this->noteValidity(now);
+    this->logValidityChange(now);
     const auto next = this->view();
-    const bool changed = next.phase != this->published.phase || next.primary != this->published.primary
-        || next.term != this->published.term;
+    const bool changed = next.phase != this->publishedView.phase
+        || next.primary != this->publishedView.primary || next.term != this->publishedView.term;
     const bool renewed
-        = next.validUntil > this->published.validUntil && now >= this->lastPublished + publishInterval;
-    const bool ended = next.validUntil < this->published.validUntil && this->published.holds(now);
-    if (!changed && !renewed && !ended)
+        = next.validUntil > this->publishedView.validUntil && now >= this->lastPublishedAt + publishInterval;
+    const bool expired = next.validUntil < this->publishedView.validUntil && this->publishedView.holds(now);
+    if (!changed && !renewed && !expired)
         return;
     if (changed)
-        this->note("leader_view",
+        this->logEvent("leader_view",
             { { "primary", next.primary.string() }, { "term", textOf(next.term) },
                 { "phase", next.phase == LeaderView::Phase::Led ? "led" : "changing" },
                 { "source", std::string { nameOf(this->viewSource(now)) } } });
-    this->published = next;
-    this->lastPublished = now;
-    this->actions.emplace_back(PublishLeader { next });
+    this->publishedView = next;
+    this->lastPublishedAt = now;
+    this->actions.emplace_back(PublishView { next });
 }
 
 ViewSource LeaderCoordinator::viewSource(Instant now) const noexcept
 {
-    const bool endedAtStore = now >= this->known.askedAt + this->options.settings.viewLifetime;
-    if (!endedAtStore || this->replicasVouchedAt <= this->known.askedAt)
-        return this->known.source;
-    return this->vouchedBy.empty() ? ViewSource::Sibling : ViewSource::Replica;
+    const bool storeReadExpired = now >= this->latestSnapshot.askedAt + this->options.settings.viewLifetime;
+    if (!storeReadExpired || this->replicasConfirmedAt <= this->latestSnapshot.askedAt)
+        return this->latestSnapshot.source;
+    return this->confirmedBy.empty() ? ViewSource::Sibling : ViewSource::Replica;
 }
 
-void LeaderCoordinator::noteValidity(Instant now)
+void LeaderCoordinator::logValidityChange(Instant now)
 {
     const auto current = this->view();
     if (current.phase != LeaderView::Phase::Led) {
-        this->notedAsHeld = false;
+        this->wasLoggedAsValid = false;
         return;
     }
     const bool holds = current.holds(now);
     const auto source = this->viewSource(now);
-    const bool sameView = current.primary == this->published.primary && current.term == this->published.term
-        && this->published.phase == LeaderView::Phase::Led;
-    const bool ended = this->notedAsHeld && !holds;
-    const bool back = sameView && !this->notedAsHeld && holds;
+    const bool sameView = current.primary == this->publishedView.primary
+        && current.term == this->publishedView.term && this->publishedView.phase == LeaderView::Phase::Led;
+    const bool expired = this->wasLoggedAsValid && !holds;
+    const bool restored = sameView && !this->wasLoggedAsValid && holds;
     // Whether this VM or a sibling has read the store makes no difference to how far a view can be trusted.
-    const bool handedOver = sameView && holds && source != this->notedSource
-        && (source == ViewSource::Replica || this->notedSource == ViewSource::Replica);
-    if (ended)
-        ++this->counts.viewsEnded;
-    if (ended || back || handedOver)
-        this->note(ended ? "leader_view_ended"
-                : back   ? "leader_view_back"
-                         : "leader_view_source",
+    const bool sourceChanged = sameView && holds && source != this->loggedSource
+        && (source == ViewSource::Replica || this->loggedSource == ViewSource::Replica);
+    if (expired)
+        ++this->counts.viewsExpired;
+    if (expired || restored || sourceChanged)
+        this->logEvent(expired ? "leader_view_ended"
+                : restored     ? "leader_view_back"
+                               : "leader_view_source",
             { { "primary", current.primary.string() }, { "term", textOf(current.term) },
                 { "source", std::string { nameOf(source) } },
-                { "replica", source == ViewSource::Replica ? this->vouchedBy.string() : "" },
-                { "store_age_ms", ageText(this->known.askedAt, now) },
-                { "replica_age_ms", ageText(this->replicasVouchedAt, now) },
-                { "sibling_age_ms", ageText(this->siblingVouchedAt, now) } });
-    this->notedAsHeld = holds;
-    this->notedSource = source;
+                { "replica", source == ViewSource::Replica ? this->confirmedBy.string() : "" },
+                { "store_age_ms", formatAge(this->latestSnapshot.askedAt, now) },
+                { "replica_age_ms", formatAge(this->replicasConfirmedAt, now) },
+                { "sibling_age_ms", formatAge(this->siblingConfirmedAt, now) } });
+    this->wasLoggedAsValid = holds;
+    this->loggedSource = source;
 }
 
 } // namespace cyclamendrift
--- a/src/session_proxy/control_leadership.cpp
+++ b/src/session_proxy/control_leadership.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-void logNote(const ServiceName& service, const LeadershipNote& note)
+void logNote(const ServiceName& service, const LogLeadershipEvent& note)
 {
     std::vector<LogField> fields { { "service", service.string() } };
     for (const auto& [key, value] : note.fields)
@@ -51,7 +51,7 @@
         co_await self->sleep(settings.doubtedInterval);
         const auto doubted = [&self] {
             return std::any_of(self->coordinators.begin(), self->coordinators.end(),
-                [](const auto& item) { return item.second.wantsSnapshot(); });
+                [](const auto& item) { return item.second.needsSnapshot(); });
         };
         while (!self->stopped && bootNow() < next && !(doubted() && !self->leadershipSource.isLost()))
             co_await self->sleep(settings.doubtedInterval);
@@ -82,7 +82,7 @@
         } else if (key.starts_with(store_key::dutyPrefix)) {
             const ServiceName service { entry.key.substr(std::string_view { store_key::dutyPrefix }.size()) };
             // The key is never rewritten, so its revision is that of its creation and grows with each holder.
-            snapshots[service].duty = LeadershipDuty {
+            snapshots[service].coordinatorLease = CoordinatorLease {
                 .holder = VmName { entry.value }, .token = entry.revision, .revision = entry.revision
             };
         }
@@ -104,8 +104,8 @@
     for (auto& [service, coordinator] : this->coordinators) {
         // Each group begins with another VM, so that the duties spread.
         coordinator.setRank((this->place.rank + index++) % std::max<std::size_t>(this->place.vms, 1));
-        coordinator.setLeaseUntil(this->leaseUntil);
-        coordinator.setVouchesForSiblings(vouches);
+        coordinator.setVmLeaseExpiry(this->leaseUntil);
+        coordinator.setConfirmsForSiblings(vouches);
         for (const auto& action : coordinator.tick(now))
             this->perform(service, action);
     }
@@ -153,15 +153,15 @@
         {
             this->send(demote.upstream, StepDown { demote.term });
         }
-        void operator()(const TakeDuty&) const
+        void operator()(const AcquireCoordinatorLease&) const
         {
             this->control.spawn(State::takeDuty(this->self, this->service));
         }
-        void operator()(const YieldDuty& duty) const
+        void operator()(const ReleaseCoordinatorLease& coordinatorLease) const
         {
-            this->control.spawn(State::yieldDuty(this->self, this->service, duty.revision));
+            this->control.spawn(State::yieldDuty(this->self, this->service, coordinatorLease.revision));
         }
-        void operator()(const WriteLeadership& change) const
+        void operator()(const WriteLeadershipRecord& change) const
         {
             this->control.spawn(State::writeRecord(this->self, this->service, change));
         }
@@ -169,11 +169,11 @@
         {
             this->control.spawn(State::promote(this->self, this->service, change));
         }
-        void operator()(const PublishLeader& leader) const
+        void operator()(const PublishView& leader) const
         {
             this->control.options.traffic.setLeader(this->service, leader.view);
         }
-        void operator()(const LeadershipNote& note) const { logNote(this->service, note); }
+        void operator()(const LogLeadershipEvent& note) const { logNote(this->service, note); }
 
         void send(const UpstreamName& upstream, UpstreamOrder order) const
         {
@@ -196,7 +196,7 @@
     if (status)
         coordinator.onStatus(upstream, *status, askedAt, bootNow());
     else
-        coordinator.onSilence(upstream, bootNow());
+        coordinator.onStatusFailed(upstream, bootNow());
 }
 
 asio::awaitable<void> SessionControl::State::takeDuty(std::shared_ptr<State> self, ServiceName service)
@@ -232,7 +232,7 @@
 }
 
 asio::awaitable<void> SessionControl::State::writeRecord(
-    std::shared_ptr<State> self, ServiceName service, WriteLeadership change)
+    std::shared_ptr<State> self, ServiceName service, WriteLeadershipRecord change)
 {
     try {
         SwapOptions swap { .key = store_key::recordPrefix + service.string(),
@@ -240,14 +240,14 @@
             .value = change.record.encode() };
         // A VM whose duty has passed to another must not change the record any more.
         swap.guards.push_back(
-            { .key = store_key::dutyPrefix + service.string(), .revision = change.dutyRevision });
+            { .key = store_key::dutyPrefix + service.string(), .revision = change.leaseRevision });
         const auto outcome = co_await self->store.compareAndSwap(std::move(swap));
         const auto* swapped = std::get_if<Swapped>(&outcome);
         logEvent(LogLevel::Info, "record_written",
             { { "service", service.string() }, { "change", change.record.changeId },
                 { "outcome", swapped != nullptr ? "done" : "conflict" } });
         if (swapped != nullptr)
-            self->coordinators.at(service).onWritten(change.record, swapped->revision, bootNow());
+            self->coordinators.at(service).onRecordWritten(change.record, swapped->revision, bootNow());
     } catch (const StoreError& error) {
         // The next reading shows whether it took effect.
         logEvent(LogLevel::Warn, "record_unknown",
--- a/src/session_proxy/control_membership.cpp
+++ b/src/session_proxy/control_membership.cpp
@@ -82,7 +82,7 @@
                 self->lease = LeaseId::None;
                 self->leaseUntil = Instant::min();
                 for (auto& [service, coordinator] : self->coordinators)
-                    coordinator.onLeaseLost(bootNow());
+                    coordinator.onVmLeaseExpired(bootNow());
                 pause = settings.firstBackoff;
             } else {
                 pause = self->leaseSource.failed(error.what());
--- a/src/session_proxy/control_readings.cpp
+++ b/src/session_proxy/control_readings.cpp
@@ -165,8 +165,8 @@
     const auto now = bootNow();
     return !this->coordinators.empty()
         && std::all_of(this->coordinators.begin(), this->coordinators.end(), [now, usable](const auto& item) {
-               const auto vouchedAt = item.second.vouchedAt(now);
-               return vouchedAt && now - *vouchedAt < usable;
+               const auto viewConfirmedAt = item.second.viewConfirmedAt(now);
+               return viewConfirmedAt && now - *viewConfirmedAt < usable;
            });
 }
 
@@ -201,13 +201,13 @@
 {
     const auto now = bootNow();
     for (const auto& [service, coordinator] : this->coordinators) {
-        const auto vouchedAt = coordinator.vouchedAt(now);
-        if (!vouchedAt || *vouchedAt <= this->leadership.confirmedAt())
+        const auto viewConfirmedAt = coordinator.viewConfirmedAt(now);
+        if (!viewConfirmedAt || *viewConfirmedAt <= this->leadership.confirmedAt())
             continue;
         auto& view = *answer.add_views();
         view.set_service(service.string());
         view.set_record_revision(coordinator.recordRevision());
-        view.set_age_us(wireAge(*vouchedAt, now));
+        view.set_age_us(wireAge(*viewConfirmedAt, now));
     }
 }
 
--- a/src/session_proxy/control_state.h
+++ b/src/session_proxy/control_state.h
@@ -176,7 +176,7 @@
     [[nodiscard]] static asio::awaitable<void> yieldDuty(
         std::shared_ptr<State> self, ServiceName service, std::uint64_t revision);
     [[nodiscard]] static asio::awaitable<void> writeRecord(
-        std::shared_ptr<State> self, ServiceName service, WriteLeadership change);
+        std::shared_ptr<State> self, ServiceName service, WriteLeadershipRecord change);
     [[nodiscard]] static asio::awaitable<void> promote(
         std::shared_ptr<State> self, ServiceName service, PromoteUpstream change);
     void takeReport(const TrafficReport& report);
--- a/src/session_proxy/session_control.cpp
+++ b/src/session_proxy/session_control.cpp
@@ -213,11 +213,11 @@
     LeaderCoordinator::Counters views;
     for (const auto& [service, coordinator] : own.coordinators) {
         views.replicaConfirmations += coordinator.counters().replicaConfirmations;
-        views.viewsEnded += coordinator.counters().viewsEnded;
+        views.viewsExpired += coordinator.counters().viewsExpired;
     }
     count("view_confirmations_total", "Times a replica confirmed who leads while the store was silent.",
         views.replicaConfirmations);
-    count("views_ended_total", "Times a view of who leads ended before it was renewed.", views.viewsEnded);
+    count("views_ended_total", "Times a view of who leads ended before it was renewed.", views.viewsExpired);
     for (const auto& [kind, calls] : own.store.counts())
         count("store_calls_total", "Calls to the store, failed ones too, by what they do and for what.",
             calls, { { "call", std::string { kind.first } }, { "purpose", std::string { kind.second } } });
--- a/tests/adapter/line_codec_test.cpp
+++ b/tests/adapter/line_codec_test.cpp
@@ -134,7 +134,7 @@
         REQUIRE(status);
         CHECK_FALSE(status->isPrimary);
         CHECK(status->received == Progress { Term { 3 }, LogPosition { 1209 } });
-        CHECK(status->heldTerm == Term { 4 });
+        CHECK(status->pausedBelowTerm == Term { 4 });
         for (const auto* row :
             { "", "leader 3 3.1 0", "replica x 3.1 0", "replica 3 - 0", "replica 3 3.1" }) {
             reply.rows = { row };
--- a/tests/leadership/leader_coordinator_test.cpp
+++ b/tests/leadership/leader_coordinator_test.cpp
@@ -216,7 +216,7 @@
         world.vm(2).cutFrom = { UpstreamName { "replica-1" }, UpstreamName { "replica-2" } };
         world.pass(2s);
         CHECK(noted("vm-2 leader_view_ended"));
-        CHECK(world.vm(2).coordinator.counters().viewsEnded == 1);
+        CHECK(world.vm(2).coordinator.counters().viewsExpired == 1);
         CHECK(world.vm(2).coordinator.counters().replicaConfirmations > 0);
         CHECK_FALSE(noted("vm-0 leader_view_source"));
     }
@@ -433,11 +433,11 @@
         LeadershipSnapshot snapshot;
         snapshot.record = claimed;
         snapshot.recordRevision = 20;
-        snapshot.duty = LeadershipDuty { .holder = other, .token = 15, .revision = 15 };
+        snapshot.coordinatorLease = CoordinatorLease { .holder = other, .token = 15, .revision = 15 };
         snapshot.askedAt = start;
         coordinator.onSnapshot(snapshot, start + 10ms);
         REQUIRE_FALSE(coordinator.view().holds(start + 20ms));
-        coordinator.onWritten(led, 10, start + 20ms);
+        coordinator.onRecordWritten(led, 10, start + 20ms);
         CHECK_FALSE(coordinator.view().holds(start + 20ms));
     }
 
@@ -455,7 +455,7 @@
         CHECK_FALSE(vm.coordinator.view().holds(world.now));
         const auto actions = vm.coordinator.tick(world.now);
         CHECK(std::any_of(actions.begin(), actions.end(), [&world](const LeadershipAction& action) {
-            const auto* published = std::get_if<PublishLeader>(&action);
+            const auto* published = std::get_if<PublishView>(&action);
             return published != nullptr && !published->view.holds(world.now);
         }));
     }
@@ -486,10 +486,10 @@
         world.pass(2s);
         REQUIRE_FALSE(vm.coordinator.view().holds(world.now));
         const auto& sibling = world.vm(0).coordinator;
-        REQUIRE(sibling.vouchedAt(world.now));
-        vm.coordinator.onSiblingView(sibling.recordRevision() + 1, *sibling.vouchedAt(world.now));
+        REQUIRE(sibling.viewConfirmedAt(world.now));
+        vm.coordinator.onSiblingView(sibling.recordRevision() + 1, *sibling.viewConfirmedAt(world.now));
         CHECK_FALSE(vm.coordinator.view().holds(world.now));
-        vm.coordinator.onSiblingView(sibling.recordRevision(), *sibling.vouchedAt(world.now));
+        vm.coordinator.onSiblingView(sibling.recordRevision(), *sibling.viewConfirmedAt(world.now));
         CHECK(vm.coordinator.view().holds(world.now));
         CHECK(vm.coordinator.view().validUntil == sibling.view().validUntil);
     }
@@ -500,11 +500,11 @@
         LeadershipWorld world { {} };
         settle(world);
         auto& vm = world.vm(2);
-        vm.coordinator.setVouchesForSiblings(false);
+        vm.coordinator.setConfirmsForSiblings(false);
         vm.storeAwayUntil = world.now + 20s;
         world.pass(6s);
         CHECK(vm.coordinator.view().holds(world.now));
-        CHECK(vm.coordinator.counters().viewsEnded == 0);
+        CHECK(vm.coordinator.counters().viewsExpired == 0);
     }
 
     TEST_CASE("without the store one replica keeps a view up for a moment only, all of them for long")
@@ -808,7 +808,7 @@
         // Guards against views that siblings hand round after the new primary leads.
         checkProperty("leadership with siblings", [](std::uint64_t seed) {
             LeadershipWorld world { { .seed = seed, .siblingsTalk = true } };
-            world.vm(2).coordinator.setVouchesForSiblings(false);
+            world.vm(2).coordinator.setConfirmsForSiblings(false);
             runWithLaggingReplicas(world, seed);
             RC_LOG() << (world.violations.empty() ? "" : world.violations.front());
             RC_ASSERT(world.violations.empty());
--- a/tests/leadership/leadership_world.cpp
+++ b/tests/leadership/leadership_world.cpp
@@ -59,8 +59,8 @@
 void LeadershipWorld::step()
 {
     this->now += stepTime;
-    if (this->duty && !this->storeDown && this->now >= this->duty->until)
-        this->duty.reset();
+    if (this->coordinatorLease && !this->storeDown && this->now >= this->coordinatorLease->until)
+        this->coordinatorLease.reset();
     std::stable_sort(this->events.begin(), this->events.end(),
         [](const Event& left, const Event& right) { return left.at < right.at; });
     while (!this->events.empty() && this->events.front().at <= this->now) {
@@ -188,7 +188,7 @@
     }
     if (this->now.time_since_epoch() % tickTime >= stepTime)
         return;
-    vm.coordinator.setLeaseUntil(vm.leaseUntil);
+    vm.coordinator.setVmLeaseExpiry(vm.leaseUntil);
     for (const auto& action : vm.coordinator.tick(this->now))
         this->perform(vm, action);
 }
@@ -203,20 +203,20 @@
     }
     const bool lapsed = vm.leaseUntil != Instant::min() && this->now >= vm.leaseUntil + leaseMargin;
     if (lapsed)
-        vm.coordinator.onLeaseLost(this->now);
+        vm.coordinator.onVmLeaseExpired(this->now);
     vm.leaseUntil = this->now + leaseTime - leaseMargin;
-    if (this->duty && this->duty->holder == vm.name && !lapsed)
-        this->duty->until = this->now + leaseTime;
+    if (this->coordinatorLease && this->coordinatorLease->holder == vm.name && !lapsed)
+        this->coordinatorLease->until = this->now + leaseTime;
     LeadershipSnapshot snapshot;
     snapshot.askedAt = this->now;
     if (this->record) {
         snapshot.record = this->record->record;
         snapshot.recordRevision = this->record->revision;
     }
-    if (this->duty)
-        snapshot.duty = LeadershipDuty {
-            .holder = this->duty->holder, .token = this->duty->revision, .revision = this->duty->revision
-        };
+    if (this->coordinatorLease)
+        snapshot.coordinatorLease = CoordinatorLease { .holder = this->coordinatorLease->holder,
+            .token = this->coordinatorLease->revision,
+            .revision = this->coordinatorLease->revision };
     this->later([this, &vm, snapshot] {
         if (this->now >= vm.frozenUntil)
             vm.coordinator.onSnapshot(snapshot, this->now);
@@ -228,10 +228,10 @@
     auto& sibling
         = this->vms.at(std::uniform_int_distribution<std::size_t> { 0, this->vms.size() - 1 }(this->random));
     this->later([this, &vm, &sibling, askedAt = this->now] {
-        const auto vouchedAt = sibling.coordinator.vouchedAt(this->now);
-        if (!vouchedAt || this->now < sibling.frozenUntil)
+        const auto viewConfirmedAt = sibling.coordinator.viewConfirmedAt(this->now);
+        if (!viewConfirmedAt || this->now < sibling.frozenUntil)
             return;
-        const auto age = this->now - *vouchedAt;
+        const auto age = this->now - *viewConfirmedAt;
         this->later([this, &vm, revision = sibling.coordinator.recordRevision(), told = askedAt - age] {
             if (this->now >= vm.frozenUntil)
                 vm.coordinator.onSiblingView(revision, told);
@@ -244,7 +244,7 @@
     return { .isPrimary = member.primary,
         .term = Term { member.term },
         .received = { .term = Term { member.term }, .position = LogPosition { member.received } },
-        .heldTerm = Term { member.held } };
+        .pausedBelowTerm = Term { member.held } };
 }
 
 void LeadershipWorld::tell(
@@ -264,7 +264,7 @@
                 if (reached)
                     vm.coordinator.onStatus(upstream, status, askedAt, this->now);
                 else
-                    vm.coordinator.onSilence(upstream, this->now);
+                    vm.coordinator.onStatusFailed(upstream, this->now);
             };
             this->later(answer, this->slowestAnswer);
         },
@@ -291,33 +291,34 @@
                 member.primary = false;
         });
     }
-    if (std::holds_alternative<TakeDuty>(action) && this->storeReachable(vm)) {
+    if (std::holds_alternative<AcquireCoordinatorLease>(action) && this->storeReachable(vm)) {
         this->later([this, &vm] {
-            if (!this->duty && !this->storeDown && this->now < vm.leaseUntil)
-                this->duty = StoredDuty {
+            if (!this->coordinatorLease && !this->storeDown && this->now < vm.leaseUntil)
+                this->coordinatorLease = StoredDuty {
                     .holder = vm.name, .revision = ++this->revision, .until = this->now + leaseTime
                 };
         });
     }
-    if (std::holds_alternative<YieldDuty>(action) && this->storeReachable(vm)) {
-        if (this->duty && this->duty->holder == vm.name)
-            this->duty.reset();
+    if (std::holds_alternative<ReleaseCoordinatorLease>(action) && this->storeReachable(vm)) {
+        if (this->coordinatorLease && this->coordinatorLease->holder == vm.name)
+            this->coordinatorLease.reset();
     }
-    if (const auto* note = std::get_if<LeadershipNote>(&action))
+    if (const auto* note = std::get_if<LogLeadershipEvent>(&action))
         this->notes.push_back(vm.name.string() + ' ' + note->event);
-    if (const auto* change = std::get_if<WriteLeadership>(&action))
+    if (const auto* change = std::get_if<WriteLeadershipRecord>(&action))
         this->write(vm, *change);
     if (const auto* change = std::get_if<PromoteUpstream>(&action))
         this->promote(vm, *change);
 }
 
-void LeadershipWorld::write(VmModel& vm, const WriteLeadership& change)
+void LeadershipWorld::write(VmModel& vm, const WriteLeadershipRecord& change)
 {
     if (!this->storeReachable(vm))
         return;
     this->later([this, &vm, change] {
         const auto current = this->record ? this->record->revision : 0;
-        const bool guarded = this->duty && this->duty->revision == change.dutyRevision;
+        const bool guarded
+            = this->coordinatorLease && this->coordinatorLease->revision == change.leaseRevision;
         if (this->storeDown || current != change.expectedRevision || !guarded)
             return;
         this->record = StoredRecord { .record = change.record, .revision = ++this->revision };
@@ -328,7 +329,7 @@
             return;
         this->later([this, &vm, change, written] {
             if (this->now >= vm.frozenUntil)
-                vm.coordinator.onWritten(change.record, written, this->now);
+                vm.coordinator.onRecordWritten(change.record, written, this->now);
         });
     });
 }
--- a/tests/leadership/leadership_world.h
+++ b/tests/leadership/leadership_world.h
@@ -111,7 +111,7 @@
     void askSibling(VmModel& vm);
     void perform(VmModel& vm, const LeadershipAction& action);
     void tell(VmModel& vm, const UpstreamName& upstream, const std::function<void(GroupMember&)>& order);
-    void write(VmModel& vm, const WriteLeadership& change);
+    void write(VmModel& vm, const WriteLeadershipRecord& change);
     void promote(VmModel& vm, const PromoteUpstream& change);
     void later(std::function<void()> run, Duration most = std::chrono::milliseconds { 30 },
         Duration least = std::chrono::milliseconds { 2 });
@@ -128,7 +128,7 @@
     std::deque<VmModel> vms;
     std::deque<Event> events;
     std::optional<StoredRecord> record;
-    std::optional<StoredDuty> duty;
+    std::optional<StoredDuty> coordinatorLease;
     std::uint64_t revision = 10;
     std::vector<std::uint64_t> tokens;
 };
--- a/tests/leadership/replacement_steps_test.cpp
+++ b/tests/leadership/replacement_steps_test.cpp
@@ -46,7 +46,7 @@
         this->coordinator.onSnapshot(
             { .record = this->stored,
                 .recordRevision = this->revision,
-                .duty = LeadershipDuty { .holder = dutyHolder, .token = 1, .revision = 1 },
+                .coordinatorLease = CoordinatorLease { .holder = dutyHolder, .token = 1, .revision = 1 },
                 .askedAt = this->now },
             this->now);
     }
@@ -54,7 +54,7 @@
     void tick()
     {
         this->now += 50ms;
-        this->coordinator.setLeaseUntil(this->now + 10s);
+        this->coordinator.setVmLeaseExpiry(this->now + 10s);
         for (const auto& action : this->coordinator.tick(this->now))
             this->perform(action);
     }
@@ -75,7 +75,7 @@
     /// Upstreams that do not answer.
     std::vector<UpstreamName> silent;
     LeadershipRecord stored;
-    std::vector<WriteLeadership> writes;
+    std::vector<WriteLeadershipRecord> writes;
     std::vector<UpstreamName> promoted;
 
 private:
@@ -87,12 +87,12 @@
             this->answerPaused(ask->upstream);
         if (const auto* change = std::get_if<PromoteUpstream>(&action))
             this->promoted.push_back(change->upstream);
-        if (const auto* change = std::get_if<WriteLeadership>(&action)) {
+        if (const auto* change = std::get_if<WriteLeadershipRecord>(&action)) {
             this->writes.push_back(*change);
             if (this->storeAway || change->expectedRevision != this->revision)
                 return;
             this->stored = change->record;
-            this->coordinator.onWritten(this->stored, ++this->revision, this->now);
+            this->coordinator.onRecordWritten(this->stored, ++this->revision, this->now);
         }
     }
     void answerPaused(const UpstreamName& upstream)
@@ -100,7 +100,7 @@
         const bool answers
             = std::find(this->silent.begin(), this->silent.end(), upstream) == this->silent.end();
         if (answers && upstream != former)
-            this->hear(upstream, { .term = Term { 1 }, .heldTerm = Term { 2 } });
+            this->hear(upstream, { .term = Term { 1 }, .pausedBelowTerm = Term { 2 } });
     }
 
     std::uint64_t revision = 1;
@@ -275,7 +275,7 @@
         holder.read(settledRecord());
         const auto later = claimOf("theirs", second);
         holder.read(later);
-        holder.coordinator.onWritten(settledRecord(), 2, holder.now);
+        holder.coordinator.onRecordWritten(settledRecord(), 2, holder.now);
         CHECK(holder.coordinator.view().phase == LeaderView::Phase::Changing);
     }
 }
