--- a/tests/leadership/leadership_world.cpp
+++ b/tests/leadership/leadership_simulation.cpp
@@ -1,4 +1,4 @@
-#include "leadership_world.h"
+#include "leadership_simulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -8,21 +8,21 @@
 namespace {
 
 constexpr Duration stepTime = std::chrono::milliseconds { 10 };
-constexpr Duration tickTime = std::chrono::milliseconds { 50 };
+constexpr Duration tickInterval = std::chrono::milliseconds { 50 };
 constexpr Duration readInterval = std::chrono::milliseconds { 300 };
-constexpr Duration leaseTime = std::chrono::milliseconds { 1800 };
+constexpr Duration leaseDuration = std::chrono::milliseconds { 1800 };
 constexpr Duration leaseMargin = std::chrono::milliseconds { 150 };
-constexpr Duration promoteTime = std::chrono::milliseconds { 300 };
+constexpr Duration promotionDuration = std::chrono::milliseconds { 300 };
 
 } // namespace
 
-LeadershipWorld::LeadershipWorld(Options options)
+LeadershipSimulation::LeadershipSimulation(Options options)
     : random(options.seed)
-    , siblingsTalk(options.siblingsTalk)
+    , siblingsShareViews(options.siblingsShareViews)
 {
     UpstreamDirectory directory;
     for (std::size_t index = 0; index <= options.replicas; ++index) {
-        GroupMember member;
+        SimulatedUpstream member;
         member.entry.name = UpstreamName { index == 0 ? "primary" : "replica-" + std::to_string(index) };
         member.entry.service = ServiceName { "register" };
         member.entry.claimsPrimary = index == 0;
@@ -39,16 +39,17 @@
     }
 }
 
-void LeadershipWorld::pass(Duration duration)
+void LeadershipSimulation::advance(Duration duration)
 {
     for (const auto end = this->now + duration; this->now < end;)
         this->step();
 }
 
-std::optional<Duration> LeadershipWorld::passUntil(Duration most, const std::function<bool()>& condition)
+std::optional<Duration> LeadershipSimulation::advanceUntil(
+    Duration maxTime, const std::function<bool()>& condition)
 {
     const auto start = this->now;
-    while (this->now < start + most) {
+    while (this->now < start + maxTime) {
         if (condition())
             return this->now - start;
         this->step();
@@ -56,10 +57,10 @@
     return std::nullopt;
 }
 
-void LeadershipWorld::step()
+void LeadershipSimulation::step()
 {
     this->now += stepTime;
-    if (this->coordinatorLease && !this->storeDown && this->now >= this->coordinatorLease->until)
+    if (this->coordinatorLease && !this->storeDown && this->now >= this->coordinatorLease->expiresAt)
         this->coordinatorLease.reset();
     std::stable_sort(this->events.begin(), this->events.end(),
         [](const Event& left, const Event& right) { return left.at < right.at; });
@@ -73,19 +74,19 @@
         if (this->now >= vm.frozenUntil)
             this->runVm(vm);
     }
-    this->check();
+    this->checkInvariants();
 }
 
-void LeadershipWorld::replicate()
+void LeadershipSimulation::replicate()
 {
     const auto* source = this->leader();
     if (source == nullptr)
         return;
     this->member(source->entry.name.string()).received += 1;
     for (auto& [name, member] : this->members) {
-        if (member.primary || !member.running || member.held > source->term)
+        if (member.primary || !member.running || member.pausedBelowTerm > source->term)
             continue;
-        const bool hearsOfNewTerm = this->now >= member.receivesSince + member.lag;
+        const bool hearsOfNewTerm = this->now >= member.canReceiveSince + member.lag;
         if (member.term < source->term && !hearsOfNewTerm)
             continue;
         member.term = source->term;
@@ -93,21 +94,21 @@
     }
 }
 
-void LeadershipWorld::release(GroupMember& member) const
+void LeadershipSimulation::endPause(SimulatedUpstream& member) const
 {
-    if (member.held != 0)
-        member.receivesSince = this->now;
-    member.held = 0;
+    if (member.pausedBelowTerm != 0)
+        member.canReceiveSince = this->now;
+    member.pausedBelowTerm = 0;
 }
 
-void LeadershipWorld::restart(const std::string& name)
+void LeadershipSimulation::restart(const std::string& name)
 {
     auto& member = this->member(name);
-    member.held = 0;
-    member.receivesSince = this->now;
+    member.pausedBelowTerm = 0;
+    member.canReceiveSince = this->now;
 }
 
-void LeadershipWorld::takeLead(const std::string& name)
+void LeadershipSimulation::becomePrimary(const std::string& name)
 {
     auto& member = this->member(name);
     if (member.primary || !member.running)
@@ -119,14 +120,14 @@
     member.term = newest + 1;
     // A promotion ends the pause of all replicas of the group.
     for (auto& [_, other] : this->members) {
-        this->release(other);
-        other.receivesSince = this->now;
+        this->endPause(other);
+        other.canReceiveSince = this->now;
     }
 }
 
-const GroupMember* LeadershipWorld::leader() const
+const SimulatedUpstream* LeadershipSimulation::leader() const
 {
-    const GroupMember* best = nullptr;
+    const SimulatedUpstream* best = nullptr;
     for (const auto& [name, member] : this->members) {
         if (member.running && member.primary && (best == nullptr || member.term > best->term))
             best = &member;
@@ -134,18 +135,18 @@
     return best;
 }
 
-bool LeadershipWorld::allFollowLeader() const
+bool LeadershipSimulation::allFollowLeader() const
 {
-    const auto* leads = this->leader();
-    if (leads == nullptr)
+    const auto* leader = this->leader();
+    if (leader == nullptr)
         return false;
-    return std::all_of(this->vms.begin(), this->vms.end(), [&](const VmModel& vm) {
+    return std::all_of(this->vms.begin(), this->vms.end(), [&](const SimulatedVm& vm) {
         const auto view = vm.coordinator.view();
-        return view.holds(this->now) && view.primary == leads->entry.name;
+        return view.holds(this->now) && view.primary == leader->entry.name;
     });
 }
 
-std::set<UpstreamName> LeadershipWorld::primariesInUse() const
+std::set<UpstreamName> LeadershipSimulation::primariesInUse() const
 {
     std::set<UpstreamName> primaries;
     for (const auto& vm : this->vms) {
@@ -156,57 +157,58 @@
     return primaries;
 }
 
-std::size_t LeadershipWorld::noted(const std::string& event) const
+std::size_t LeadershipSimulation::logged(const std::string& event) const
 {
-    return static_cast<std::size_t>(std::count_if(this->notes.begin(), this->notes.end(),
+    return static_cast<std::size_t>(std::count_if(this->loggedEvents.begin(), this->loggedEvents.end(),
         [&event](const std::string& line) { return line.ends_with(' ' + event); }));
 }
 
-bool LeadershipWorld::storeReachable(const VmModel& vm) const
+bool LeadershipSimulation::storeReachable(const SimulatedVm& vm) const
 {
-    return !this->storeDown && this->now >= vm.storeAwayUntil;
+    return !this->storeDown && this->now >= vm.storeUnreachableUntil;
 }
 
-void LeadershipWorld::later(std::function<void()> run, Duration most, Duration least)
+void LeadershipSimulation::schedule(std::function<void()> run, Duration maxTime, Duration minTime)
 {
-    const auto longest = std::chrono::duration_cast<std::chrono::milliseconds>(most).count();
-    const auto shortest = std::chrono::duration_cast<std::chrono::milliseconds>(least).count();
-    const std::chrono::milliseconds delay { std::uniform_int_distribution<std::int64_t> { shortest, longest }(
+    const auto maxMs = std::chrono::duration_cast<std::chrono::milliseconds>(maxTime).count();
+    const auto minMs = std::chrono::duration_cast<std::chrono::milliseconds>(minTime).count();
+    const std::chrono::milliseconds delay { std::uniform_int_distribution<std::int64_t> { minMs, maxMs }(
         this->random) };
     this->events.push_back({ .at = this->now + delay, .run = std::move(run) });
 }
 
-void LeadershipWorld::runVm(VmModel& vm)
+void LeadershipSimulation::runVm(SimulatedVm& vm)
 {
     if (this->now >= vm.nextRead)
         this->readStore(vm);
     for (const auto& [name, member] : this->members) {
-        const bool reached = member.running && !vm.cutFrom.contains(name);
+        const bool reached = member.running && !vm.unreachableUpstreams.contains(name);
         const auto failing = reached || vm.idle ? std::nullopt : std::optional { this->now };
         const auto answered = reached && !vm.idle ? this->now : Instant::min();
         vm.coordinator.onTraffic(name, answered, failing, false);
     }
-    if (this->now.time_since_epoch() % tickTime >= stepTime)
+    if (this->now.time_since_epoch() % tickInterval >= stepTime)
         return;
-    vm.coordinator.setVmLeaseExpiry(vm.leaseUntil);
+    vm.coordinator.setVmLeaseExpiry(vm.vmLeaseExpiresAt);
     for (const auto& action : vm.coordinator.tick(this->now))
-        this->perform(vm, action);
+        this->performAction(vm, action);
 }
 
-void LeadershipWorld::readStore(VmModel& vm)
+void LeadershipSimulation::readStore(SimulatedVm& vm)
 {
     vm.nextRead = this->now + readInterval;
     if (!this->storeReachable(vm)) {
-        if (this->siblingsTalk)
+        if (this->siblingsShareViews)
             this->askSibling(vm);
         return;
     }
-    const bool lapsed = vm.leaseUntil != Instant::min() && this->now >= vm.leaseUntil + leaseMargin;
+    const bool lapsed
+        = vm.vmLeaseExpiresAt != Instant::min() && this->now >= vm.vmLeaseExpiresAt + leaseMargin;
     if (lapsed)
         vm.coordinator.onVmLeaseExpired(this->now);
-    vm.leaseUntil = this->now + leaseTime - leaseMargin;
+    vm.vmLeaseExpiresAt = this->now + leaseDuration - leaseMargin;
     if (this->coordinatorLease && this->coordinatorLease->holder == vm.name && !lapsed)
-        this->coordinatorLease->until = this->now + leaseTime;
+        this->coordinatorLease->expiresAt = this->now + leaseDuration;
     LeadershipSnapshot snapshot;
     snapshot.askedAt = this->now;
     if (this->record) {
@@ -217,44 +219,45 @@
         snapshot.coordinatorLease = CoordinatorLease { .holder = this->coordinatorLease->holder,
             .token = this->coordinatorLease->revision,
             .revision = this->coordinatorLease->revision };
-    this->later([this, &vm, snapshot] {
+    this->schedule([this, &vm, snapshot] {
         if (this->now >= vm.frozenUntil)
             vm.coordinator.onSnapshot(snapshot, this->now);
     });
 }
 
-void LeadershipWorld::askSibling(VmModel& vm)
+void LeadershipSimulation::askSibling(SimulatedVm& vm)
 {
     auto& sibling
         = this->vms.at(std::uniform_int_distribution<std::size_t> { 0, this->vms.size() - 1 }(this->random));
-    this->later([this, &vm, &sibling, askedAt = this->now] {
+    this->schedule([this, &vm, &sibling, askedAt = this->now] {
         const auto viewConfirmedAt = sibling.coordinator.viewConfirmedAt(this->now);
         if (!viewConfirmedAt || this->now < sibling.frozenUntil)
             return;
         const auto age = this->now - *viewConfirmedAt;
-        this->later([this, &vm, revision = sibling.coordinator.recordRevision(), told = askedAt - age] {
-            if (this->now >= vm.frozenUntil)
-                vm.coordinator.onSiblingView(revision, told);
-        });
+        this->schedule(
+            [this, &vm, revision = sibling.coordinator.recordRevision(), confirmedAt = askedAt - age] {
+                if (this->now >= vm.frozenUntil)
+                    vm.coordinator.onSiblingView(revision, confirmedAt);
+            });
     });
 }
 
-UpstreamStatus LeadershipWorld::statusOf(const GroupMember& member) const
+UpstreamStatus LeadershipSimulation::statusOf(const SimulatedUpstream& member) const
 {
     return { .isPrimary = member.primary,
         .term = Term { member.term },
         .received = { .term = Term { member.term }, .position = LogPosition { member.received } },
-        .pausedBelowTerm = Term { member.held } };
+        .pausedBelowTerm = Term { member.pausedBelowTerm } };
 }
 
-void LeadershipWorld::tell(
-    VmModel& vm, const UpstreamName& upstream, const std::function<void(GroupMember&)>& order)
+void LeadershipSimulation::sendOrder(
+    SimulatedVm& vm, const UpstreamName& upstream, const std::function<void(SimulatedUpstream&)>& order)
 {
     const auto askedAt = this->now;
-    this->later(
+    this->schedule(
         [this, &vm, upstream, order, askedAt] {
             auto& member = this->members.at(upstream);
-            const bool reached = member.running && !vm.cutFrom.contains(upstream);
+            const bool reached = member.running && !vm.unreachableUpstreams.contains(upstream);
             if (reached)
                 order(member);
             const auto status = this->statusOf(member);
@@ -266,36 +269,36 @@
                 else
                     vm.coordinator.onStatusFailed(upstream, this->now);
             };
-            this->later(answer, this->slowestAnswer);
+            this->schedule(answer, this->maxAnswerTime);
         },
-        this->slowestAnswer);
+        this->maxAnswerTime);
 }
 
-void LeadershipWorld::perform(VmModel& vm, const LeadershipAction& action)
+void LeadershipSimulation::performAction(SimulatedVm& vm, const LeadershipAction& action)
 {
     if (const auto* ask = std::get_if<AskStatus>(&action))
-        this->tell(vm, ask->upstream, [](GroupMember&) {});
+        this->sendOrder(vm, ask->upstream, [](SimulatedUpstream&) {});
     if (const auto* pause = std::get_if<PauseReplica>(&action)) {
         const auto term = static_cast<std::uint64_t>(pause->term);
-        this->tell(vm, pause->upstream, [term](GroupMember& member) {
+        this->sendOrder(vm, pause->upstream, [term](SimulatedUpstream& member) {
             if (!member.primary && term > member.term)
-                member.held = term;
+                member.pausedBelowTerm = term;
         });
     }
     if (const auto* resume = std::get_if<ResumeReplica>(&action))
-        this->tell(vm, resume->upstream, [this](GroupMember& member) { this->release(member); });
+        this->sendOrder(vm, resume->upstream, [this](SimulatedUpstream& member) { this->endPause(member); });
     if (const auto* demote = std::get_if<DemotePrimary>(&action)) {
         const auto term = static_cast<std::uint64_t>(demote->term);
-        this->tell(vm, demote->upstream, [term](GroupMember& member) {
+        this->sendOrder(vm, demote->upstream, [term](SimulatedUpstream& member) {
             if (member.primary && member.term < term)
                 member.primary = false;
         });
     }
     if (std::holds_alternative<AcquireCoordinatorLease>(action) && this->storeReachable(vm)) {
-        this->later([this, &vm] {
-            if (!this->coordinatorLease && !this->storeDown && this->now < vm.leaseUntil)
-                this->coordinatorLease = StoredDuty {
-                    .holder = vm.name, .revision = ++this->revision, .until = this->now + leaseTime
+        this->schedule([this, &vm] {
+            if (!this->coordinatorLease && !this->storeDown && this->now < vm.vmLeaseExpiresAt)
+                this->coordinatorLease = StoredLease {
+                    .holder = vm.name, .revision = ++this->revision, .expiresAt = this->now + leaseDuration
                 };
         });
     }
@@ -304,18 +307,18 @@
             this->coordinatorLease.reset();
     }
     if (const auto* note = std::get_if<LogLeadershipEvent>(&action))
-        this->notes.push_back(vm.name.string() + ' ' + note->event);
+        this->loggedEvents.push_back(vm.name.string() + ' ' + note->event);
     if (const auto* change = std::get_if<WriteLeadershipRecord>(&action))
-        this->write(vm, *change);
+        this->writeRecord(vm, *change);
     if (const auto* change = std::get_if<PromoteUpstream>(&action))
-        this->promote(vm, *change);
+        this->carryOutPromotion(vm, *change);
 }
 
-void LeadershipWorld::write(VmModel& vm, const WriteLeadershipRecord& change)
+void LeadershipSimulation::writeRecord(SimulatedVm& vm, const WriteLeadershipRecord& change)
 {
     if (!this->storeReachable(vm))
         return;
-    this->later([this, &vm, change] {
+    this->schedule([this, &vm, change] {
         const auto current = this->record ? this->record->revision : 0;
         const bool guarded
             = this->coordinatorLease && this->coordinatorLease->revision == change.leaseRevision;
@@ -323,21 +326,21 @@
             return;
         this->record = StoredRecord { .record = change.record, .revision = ++this->revision };
         const auto written = this->record->revision;
-        const bool lost = this->loseAnswers != 0
-            && std::uniform_int_distribution<std::size_t> { 1, this->loseAnswers }(this->random) == 1;
+        const bool lost = this->writesPerLostAnswer != 0
+            && std::uniform_int_distribution<std::size_t> { 1, this->writesPerLostAnswer }(this->random) == 1;
         if (lost)
             return;
-        this->later([this, &vm, change, written] {
+        this->schedule([this, &vm, change, written] {
             if (this->now >= vm.frozenUntil)
                 vm.coordinator.onRecordWritten(change.record, written, this->now);
         });
     });
 }
 
-void LeadershipWorld::promote(VmModel& vm, const PromoteUpstream& change)
+void LeadershipSimulation::carryOutPromotion(SimulatedVm& vm, const PromoteUpstream& change)
 {
     // A VM checks its lease once more as it sends; what was sent arrives later whatever happens to it.
-    if (this->now >= vm.leaseUntil)
+    if (this->now >= vm.vmLeaseExpiresAt)
         return;
     if (!this->record || this->record->record.chosen != change.upstream)
         this->violations.push_back("a promotion was sent that the record does not name");
@@ -348,20 +351,20 @@
         auto& named = this->members.at(change.upstream);
         if (named.primary || !named.running)
             return;
-        this->events.push_back({ .at = this->now + promoteTime,
-            .run = [this, upstream = change.upstream] { this->takeLead(upstream.string()); } });
+        this->events.push_back({ .at = this->now + promotionDuration,
+            .run = [this, upstream = change.upstream] { this->becomePrimary(upstream.string()); } });
     };
-    this->later(carryOut, this->slowestPromotion, this->fastestPromotion);
+    this->schedule(carryOut, this->maxPromotionTime, this->minPromotionTime);
 }
 
-void LeadershipWorld::check()
+void LeadershipSimulation::checkInvariants()
 {
-    const auto* leads = this->leader();
-    if (leads == nullptr)
+    const auto* leader = this->leader();
+    if (leader == nullptr)
         return;
     for (const auto& vm : this->vms) {
         const auto view = vm.coordinator.view();
-        const bool old = view.holds(this->now) && static_cast<std::uint64_t>(view.term) < leads->term;
+        const bool old = view.holds(this->now) && static_cast<std::uint64_t>(view.term) < leader->term;
         if (old)
             this->violations.push_back(vm.name.string() + " may still act on term "
                 + std::to_string(static_cast<std::uint64_t>(view.term)) + " while another upstream leads");
--- a/tests/leadership/leadership_world.h
+++ b/tests/leadership/leadership_simulation.h
@@ -15,77 +15,77 @@
 /// Several VMs with a coordinator each, one group of upstreams, a store and a platform, in virtual time.
 namespace cyclamendrift {
 
-struct GroupMember {
+struct SimulatedUpstream {
     UpstreamEntry entry;
     bool running = true;
     bool primary = false;
     std::uint64_t term = 1;
     std::uint64_t received = 100;
-    std::uint64_t held = 0;
+    std::uint64_t pausedBelowTerm = 0;
     /// What it has received from a new primary reaches it, and with it the new term, this much later.
     Duration lag {};
     /// Since when it could have received from the primary that leads now.
-    Instant receivesSince = Instant::min();
+    Instant canReceiveSince = Instant::min();
 };
 
-struct VmModel {
+struct SimulatedVm {
     VmName name;
     LeaderCoordinator coordinator;
     /// It runs nothing before this instant.
     Instant frozenUntil = Instant::min();
     /// The store neither takes its calls nor answers them before this instant.
-    Instant storeAwayUntil = Instant::min();
+    Instant storeUnreachableUntil = Instant::min();
     /// Upstreams that it cannot reach.
-    std::set<UpstreamName> cutFrom;
+    std::set<UpstreamName> unreachableUpstreams;
     Instant nextRead = Instant::min();
-    Instant leaseUntil = Instant::min();
+    Instant vmLeaseExpiresAt = Instant::min();
     /// No caller's statement goes to any upstream from here.
     bool idle = false;
 };
 
-class LeadershipWorld {
+class LeadershipSimulation {
 public:
     struct Options {
         std::size_t vms = 3;
         std::size_t replicas = 2;
         std::uint64_t seed = 1;
         /// A VM that the store turns away asks another VM for its view.
-        bool siblingsTalk = false;
+        bool siblingsShareViews = false;
     };
 
-    explicit LeadershipWorld(Options options);
+    explicit LeadershipSimulation(Options options);
 
     /// A replica starts again with its log; it knows of no pause.
     void restart(const std::string& name);
     /// An upstream that runs leads the next term, as after a promotion that no VM waits for.
-    void takeLead(const std::string& name);
+    void becomePrimary(const std::string& name);
     /// Lets time pass in steps of 10 ms.
-    void pass(Duration duration);
+    void advance(Duration duration);
     /// Passes time until the condition holds; returns how long it took, or nothing when it never did.
-    std::optional<Duration> passUntil(Duration most, const std::function<bool()>& condition);
+    std::optional<Duration> advanceUntil(Duration maxTime, const std::function<bool()>& condition);
 
-    GroupMember& member(const std::string& name) { return this->members.at(UpstreamName { name }); }
-    VmModel& vm(std::size_t index) { return this->vms.at(index); }
+    SimulatedUpstream& member(const std::string& name) { return this->members.at(UpstreamName { name }); }
+    SimulatedVm& vm(std::size_t index) { return this->vms.at(index); }
     /// The running upstream that leads the highest term, or null.
-    [[nodiscard]] const GroupMember* leader() const;
+    [[nodiscard]] const SimulatedUpstream* leader() const;
     /// True when every VM that runs has a view that holds and names the leader.
     [[nodiscard]] bool allFollowLeader() const;
     /// The primaries that VMs may act on now.
     [[nodiscard]] std::set<UpstreamName> primariesInUse() const;
     /// How often VMs have noted the event.
-    [[nodiscard]] std::size_t noted(const std::string& event) const;
+    [[nodiscard]] std::size_t logged(const std::string& event) const;
     [[nodiscard]] std::size_t promotions() const { return this->tokens.size(); }
 
     Instant now { std::chrono::seconds { 1000 } };
     bool storeDown = false;
     /// One in so many writes of the store is done and not answered; 0 for none.
-    std::size_t loseAnswers = 0;
+    std::size_t writesPerLostAnswer = 0;
     /// Events that VMs noted, as "<vm> <event>".
-    std::vector<std::string> notes;
+    std::vector<std::string> loggedEvents;
     /// Longest time that an upstream's answer, and the platform's carrying out of a promotion, take.
-    Duration slowestAnswer = std::chrono::milliseconds { 30 };
-    Duration slowestPromotion = std::chrono::milliseconds { 30 };
-    Duration fastestPromotion = std::chrono::milliseconds { 2 };
+    Duration maxAnswerTime = std::chrono::milliseconds { 30 };
+    Duration maxPromotionTime = std::chrono::milliseconds { 30 };
+    Duration minPromotionTime = std::chrono::milliseconds { 2 };
     /// What went wrong: a view of an old primary that still held after a newer one led, a token that fell, or
     /// a promotion that a successor would not know of.
     std::vector<std::string> violations;
@@ -99,36 +99,37 @@
         LeadershipRecord record;
         std::uint64_t revision = 0;
     };
-    struct StoredDuty {
+    struct StoredLease {
         VmName holder;
         std::uint64_t revision = 0;
-        Instant until;
+        Instant expiresAt;
     };
 
     void step();
-    void runVm(VmModel& vm);
-    void readStore(VmModel& vm);
-    void askSibling(VmModel& vm);
-    void perform(VmModel& vm, const LeadershipAction& action);
-    void tell(VmModel& vm, const UpstreamName& upstream, const std::function<void(GroupMember&)>& order);
-    void write(VmModel& vm, const WriteLeadershipRecord& change);
-    void promote(VmModel& vm, const PromoteUpstream& change);
-    void later(std::function<void()> run, Duration most = std::chrono::milliseconds { 30 },
-        Duration least = std::chrono::milliseconds { 2 });
+    void runVm(SimulatedVm& vm);
+    void readStore(SimulatedVm& vm);
+    void askSibling(SimulatedVm& vm);
+    void performAction(SimulatedVm& vm, const LeadershipAction& action);
+    void sendOrder(
+        SimulatedVm& vm, const UpstreamName& upstream, const std::function<void(SimulatedUpstream&)>& order);
+    void writeRecord(SimulatedVm& vm, const WriteLeadershipRecord& change);
+    void carryOutPromotion(SimulatedVm& vm, const PromoteUpstream& change);
+    void schedule(std::function<void()> run, Duration maxTime = std::chrono::milliseconds { 30 },
+        Duration minTime = std::chrono::milliseconds { 2 });
     void replicate();
     /// Ends a replica's pause.
-    void release(GroupMember& member) const;
-    void check();
-    [[nodiscard]] bool storeReachable(const VmModel& vm) const;
-    [[nodiscard]] UpstreamStatus statusOf(const GroupMember& member) const;
+    void endPause(SimulatedUpstream& member) const;
+    void checkInvariants();
+    [[nodiscard]] bool storeReachable(const SimulatedVm& vm) const;
+    [[nodiscard]] UpstreamStatus statusOf(const SimulatedUpstream& member) const;
 
     std::mt19937_64 random;
-    bool siblingsTalk = false;
-    std::map<UpstreamName, GroupMember> members;
-    std::deque<VmModel> vms;
+    bool siblingsShareViews = false;
+    std::map<UpstreamName, SimulatedUpstream> members;
+    std::deque<SimulatedVm> vms;
     std::deque<Event> events;
     std::optional<StoredRecord> record;
-    std::optional<StoredDuty> coordinatorLease;
+    std::optional<StoredLease> coordinatorLease;
     std::uint64_t revision = 10;
     std::vector<std::uint64_t> tokens;
 };
