--- a/include/cyclamendrift/leadership/leader_coordinator.h
+++ b/include/cyclamendrift/leadership/leader_coordinator.h
@@ -13,76 +13,80 @@
 
 namespace cyclamendrift {
 
-/// Times that a LeaderCoordinator goes by.
+/// Time limits and intervals of a LeaderCoordinator.
 struct LeadershipSettings {
-    /// How long a VM may act on a view after the moment it was taken. A promoter waits it out before a new
-    /// primary leads, so it is part of every failover's gap; it must cover two reads of the store and one
-    /// slow answer.
+    /// How long a view is valid after it was read or last confirmed. The coordinator waits this long before
+    /// it promotes a new primary, so it is part of every failover's duration. It must cover two reads of the
+    /// store and one slow answer.
     Duration viewLifetime = std::chrono::milliseconds { 1000 };
-    /// Added by the promoter for differences between clocks' rates, for statements on their way, and to ask
-    /// paused replicas once more.
+    /// Added to `viewLifetime` by the coordinator for differences between clock rates, for statements in
+    /// transit, and for asking paused replicas once more.
     Duration viewMargin = std::chrono::milliseconds { 100 };
-    /// A VM that reads the store itself asks replicas to renew a view that is older than this: an interval of
-    /// reading and a slow answer.
+    /// A VM that reads the store itself asks replicas to confirm a view that is older than this: one read
+    /// interval and a slow answer.
     Duration ownSnapshotMaxAge = std::chrono::milliseconds { 400 };
-    /// The same where siblings read the store: two intervals of reading and a round trip.
+    /// The same where siblings read the store: two read intervals and a round trip.
     Duration siblingSnapshotMaxAge = std::chrono::milliseconds { 680 };
-    /// The same for a VM that siblings are to tell what replicas vouch for: questions take slots of the
-    /// upstreams, so few VMs ask while siblings can be reached.
+    /// The same for a VM that relies on its siblings for replicas' confirmations. Status requests occupy the
+    /// upstreams' concurrency, so only a few VMs ask while siblings can be reached.
     Duration siblingConfirmationMaxAge = std::chrono::milliseconds { 850 };
-    /// Between two questions to the same upstream.
+    /// Between two status requests to the same upstream.
     Duration askInterval = std::chrono::milliseconds { 150 };
-    /// From a replica's confirmation to the next question to it while the store is silent; one that has not
-    /// confirmed is asked again after `askInterval`.
+    /// From a replica's confirmation to the next request to it while the store cannot be read; a replica that
+    /// has not confirmed is asked again after `askInterval`.
     Duration confirmationInterval = std::chrono::milliseconds { 200 };
-    /// For so long after the store was asked last, the word of one replica prolongs a view; from then on all
-    /// of them must give theirs, so that pausing any one of them ends it. A promoter that could not pause
-    /// them all waits it out.
+    /// For this long after the last read of the store, the confirmation of one replica extends a view. From
+    /// then on all replicas must confirm, so that pausing any one of them lets the view expire. A coordinator
+    /// that could not pause all replicas waits for this time.
     Duration singleReplicaPeriod = std::chrono::milliseconds { 1000 };
-    /// A replica that left the directory without having announced its end counts for so long as one that is
-    /// out of reach: other VMs may list it still, or again. Covers the age of a listing and the time for
-    /// which missing entries are kept.
+    /// A replica that disappeared from the directory without having been marked as draining counts as
+    /// unreachable for this long, because other VMs may still list it, or list it again. Covers the age of a
+    /// listing and the time for which missing entries are kept.
     Duration missingReplicaRetention = std::chrono::seconds { 10 };
-    /// Between two tries to bring an upstream behind the primary that leads now.
+    /// Between two attempts to make an upstream follow the current primary.
     Duration reconcileInterval = std::chrono::milliseconds { 400 };
-    /// The duty's holder asks a primary that no traffic has reached for so long.
+    /// The coordinator asks a primary for its status when no traffic has reached it for this long.
     Duration primaryIdleTime = std::chrono::milliseconds { 500 };
-    /// A primary that has answered nothing for so long, though asked, is replaced.
+    /// A primary that has been asked and has answered nothing for this long is replaced.
     Duration primaryTimeout = std::chrono::milliseconds { 700 };
-    /// Replicas' logs are compared over this time: one that grows shows that the primary lives.
+    /// Replicas' logs are compared for twice this time before a silent primary is replaced: a log that grows
+    /// shows that the primary is running.
     Duration logGrowthWindow = std::chrono::milliseconds { 200 };
-    /// In a planned change, how long replicas may take to receive what the old primary has.
+    /// In a planned change, how long replicas may take to receive what the old primary has written.
     Duration catchUpTimeout = std::chrono::milliseconds { 800 };
-    /// Between two tries of a promotion that has not shown an effect.
+    /// Between two attempts of a promotion that has shown no effect.
     Duration promotionRetryInterval = std::chrono::milliseconds { 500 };
-    /// A replica that does not lead after this is given up. Another one is promoted as soon as no promotion
-    /// of the former may still take effect.
+    /// A promoted replica that does not lead after this time is abandoned. Another one is promoted as soon as
+    /// no promotion of the first one can take effect any more.
     Duration promotionTimeout = std::chrono::milliseconds { 2500 };
-    /// After so long a promotion that was sent has taken effect or never will; it covers the time limit of
-    /// that call and the change itself.
+    /// By this time a promotion that was sent has taken effect or never will; covers the time limit of that
+    /// call and the change itself.
     Duration promotionSettleTime = std::chrono::milliseconds { 4000 };
-    /// A VM that gave up the duty does not take it again for so long.
+    /// A VM that released the coordinator lease does not acquire it again for this long.
     Duration leaseReacquireDelay = std::chrono::seconds { 4 };
-    /// Between two tries to take a free duty or to write the record.
+    /// Between two attempts to acquire the coordinator lease or to write the record.
     Duration storeRetryInterval = std::chrono::milliseconds { 300 };
-    /// Each VM waits for its rank times this before it takes a free duty, so that two seldom try at once.
+    /// Each VM waits for its rank times this before it acquires a free coordinator lease, so that two VMs
+    /// seldom try at once.
     Duration rankDelay = std::chrono::milliseconds { 60 };
 };
 
-/// Keeps a primary for one group, as seen from one VM. Every VM runs one for each group: it says whom to send
-/// writes to and until when that holds. The VM that holds the group's duty also replaces a primary that died
-/// or leaves.
+/// Tracks which upstream leads a group, as seen from one VM, and replaces the primary when it fails or
+/// leaves. Every VM runs one per group; its view tells which upstream receives writes and until when. Only
+/// the group's coordinator, the VM that holds the coordinator lease, replaces the primary. Does no I/O: takes
+/// events and returns actions. Not thread-safe.
 ///
-/// Safety: a new primary leads only after every view of the old one has ended. A view is of a record in the
-/// store, where a promoter claims the next term first, and replicas prolong it, which the promoter pauses
-/// first; from both steps on it waits for the lifetime of views. Replicas prolong only a view that still
-/// holds: one of them for `singleReplicaPeriod` after the store was read, all of them from then on, so that
-/// pausing the one that is promoted is enough. A view that has ended comes back by the store, or by a
-/// sibling's view of the same record that holds.
+/// Safety: a new primary leads only after every view of the old one has expired. The coordinator first claims
+/// the next term in the store, so that no later read renews a view of the old primary, and pauses the
+/// replicas, so that they no longer confirm one. It waits for `viewLifetime` after both steps. Replicas
+/// extend only a view that is still valid: one replica suffices for `singleReplicaPeriod` after the store was
+/// read, all of them are needed from then on, so that pausing the replica to be promoted is enough. An
+/// expired view becomes valid again only by a read of the store, or by a sibling's valid view of the same
+/// record.
 ///
-/// One promotion at a time: the record names the replica that is to lead before the platform is asked to
-/// promote it, so whoever takes the duty over goes on with it. Another one is chosen, or written down as the
-/// primary, only when no promotion of the former one can take effect any more.
+/// At most one promotion at a time: the record names the replica that is to lead before the platform is asked
+/// to promote it, so the next coordinator continues with the same replica. Another replica is chosen, or
+/// written as the primary, only when no promotion of the first one can take effect any more.
 ///
 ///     coordinator.onSnapshot(snapshot, now);
 ///     for (const auto& action : coordinator.tick(now)) begin(action);
@@ -97,59 +101,64 @@
 
     explicit LeaderCoordinator(Options options);
 
-    /// This VM's place among all, which orders their tries.
+    /// Rank of this VM among all VMs; determines the order in which they try to acquire the coordinator
+    /// lease.
     void setRank(std::size_t rank) noexcept { this->rank = rank; }
-    /// Until when this VM's own lease is sure to hold; its duties lapse with it.
+    /// Until when this VM's own lease is certain to be valid. Its coordinator leases expire with it.
     void setVmLeaseExpiry(Instant until) noexcept { this->vmLeaseExpiresAt = until; }
-    /// This VM's lease has lapsed, and with it every duty that it held, whatever was read before.
+    /// This VM's lease has expired, and with it every coordinator lease that it held, whatever was read
+    /// before.
     void onVmLeaseExpired(Instant now);
 
-    /// This VM is one of those that ask replicas for their siblings as well.
+    /// Whether this VM asks replicas on behalf of its siblings too.
     void setConfirmsForSiblings(bool vouches) noexcept { this->confirmsForSiblings = vouches; }
 
-    /// The store was read.
+    /// The store was read. A snapshot older than the latest one is ignored.
     void onSnapshot(const LeadershipSnapshot& snapshot, Instant now);
-    /// The upstreams of the group that are there.
+    /// The directory now lists these upstreams of the group.
     void onDirectory(UpstreamDirectory members, Instant now);
-    /// Traffic got an answer from an upstream, or has been failing to since some time.
+    /// Reports the traffic to an upstream: when it last answered, since when statements have been failing,
+    /// and whether an answer contradicts the view.
     void onTraffic(const UpstreamName& upstream, Instant lastAnswer, std::optional<Instant> failingSince,
         bool contradictsView);
-    /// An upstream answered a question, pause, resume or demotion that was sent at `askedAt`.
+    /// An upstream answered a status request, pause, resume or demotion that was sent at `askedAt`.
     void onStatus(const UpstreamName& upstream, const UpstreamStatus& status, Instant askedAt, Instant now);
-    /// A sibling has a view of the record with that revision that holds, and was vouched for at that instant.
-    /// The promoter has waited that view out as well, so one of this VM may come back by it.
+    /// A sibling has a valid view of the record at that revision, last confirmed at that instant. The
+    /// coordinator waits for that view to expire as well, so it may make an expired view of this VM valid
+    /// again.
     void onSiblingView(std::uint64_t recordRevision, Instant viewConfirmedAt);
-    /// An upstream did not answer, or refused.
+    /// An upstream did not answer a request, or refused it.
     void onStatusFailed(const UpstreamName& upstream, Instant now);
-    /// The record was changed as asked.
+    /// The store accepted a change of the record that this VM had requested.
     void onRecordWritten(const LeadershipRecord& record, std::uint64_t revision, Instant now);
-    /// The platform answered that the upstream that was named is not running.
+    /// The platform refused a promotion because the upstream is not running.
     void onPromotionRefused(const UpstreamName& upstream);
 
-    /// To be called every 50 ms or so.
+    /// Returns the actions to perform. To be called about every 50 ms.
     [[nodiscard]] std::vector<LeadershipAction> tick(Instant now);
 
-    /// Whom to send writes to, and until when.
+    /// Which upstream receives writes, and until when.
     [[nodiscard]] LeaderView view() const;
-    /// When a view that holds was vouched for last, by the store or replicas; empty when none holds.
+    /// When the view was last confirmed by the store or by replicas; empty when it is not valid.
     [[nodiscard]] std::optional<Instant> viewConfirmedAt(Instant now) const;
-    /// The revision of the record that the view is of.
+    /// The revision of the record that the view was read from.
     [[nodiscard]] std::uint64_t recordRevision() const noexcept
     {
         return this->latestSnapshot.recordRevision;
     }
 
-    /// How often views were kept up by replicas, and how often one ended before it was renewed.
+    /// How often replicas extended a view, and how often a view expired before it was renewed.
     struct Counters {
         std::uint64_t replicaConfirmations = 0;
         std::uint64_t viewsExpired = 0;
     };
     [[nodiscard]] const Counters& counters() const noexcept { return this->counts; }
 
-    /// This VM needs its lease: it holds the duty, or it is its turn to take it.
+    /// True when this VM needs its own lease: it holds the coordinator lease, or it is its turn to acquire
+    /// it.
     [[nodiscard]] bool needsLease(Instant now) const;
 
-    /// The store should be read soon: what it says is doubted, or everybody waits for a new primary.
+    /// True when the store should be read soon: the record may be stale, or the primary is being replaced.
     [[nodiscard]] bool needsSnapshot() const noexcept;
 
 private:
@@ -157,13 +166,13 @@
         UpstreamEntry entry;
         std::optional<UpstreamStatus> status;
         Instant statusAt = Instant::min();
-        /// When it was first heard to lead the term that it leads.
+        /// When it was first reported to lead its current term.
         Instant leadsSince = Instant::min();
         Instant lastAnswer = Instant::min();
         Instant lastAskedAt = Instant::min();
-        /// When it was asked last and confirmed that it follows the record's primary.
+        /// Send time of the last request with which it confirmed that it follows the record's primary.
         Instant confirmedAt = Instant::min();
-        /// Since when statements of callers, and this VM's own questions, have been failing.
+        /// Since when callers' statements, and this VM's own status requests, have been failing.
         std::optional<Instant> trafficFailingSince;
         std::optional<Instant> queriesFailingSince;
 
@@ -176,22 +185,23 @@
     /// A replica that was paused for the replacement.
     struct Pause {
         Progress received;
-        /// When its answer came that told so first; the replica was paused before.
+        /// When the first answer arrived that reported the pause; the replica had been paused before.
         Instant since;
-        /// When it was asked last and still said so; the replica was paused after.
+        /// Send time of the last request whose answer still reported the pause; the replica was still paused
+        /// after it.
         Instant lastSeen;
     };
-    /// How far a replacement of the primary has come.
+    /// State of a replacement of the primary.
     struct Replacement {
         Term term {};
         bool planned = false;
-        /// The change that writes the claim is not known to have taken effect yet.
+        /// The write of the claim is not known to have taken effect yet.
         bool claimPending = true;
-        /// The upstream that this VM has tried to write down as the primary.
+        /// The upstream that this VM has tried to write into the record as the primary.
         UpstreamName attemptedPrimary;
-        /// When the record was seen to hold the claim.
+        /// When the record was seen to contain the claim.
         Instant claimedAt;
-        /// Who was chosen before this VM took the claim over.
+        /// The replica that was chosen before this VM took over the claim.
         UpstreamName inheritedChoice;
         std::map<UpstreamName, Pause> paused;
         std::optional<Progress> demotedProgress;
@@ -201,11 +211,11 @@
         Instant lastPromotionAt = Instant::min();
         std::vector<UpstreamName> refused;
     };
-    /// An upstream that says it leads.
+    /// An upstream that reports that it leads.
     struct Leader {
         UpstreamName name;
         Term term {};
-        /// When this VM heard of it first.
+        /// When this VM first received that report.
         Instant since;
     };
     /// A replica that may be promoted.
@@ -213,7 +223,7 @@
         UpstreamName name;
         Progress received;
     };
-    /// A first look at the replicas' logs while the primary is silent.
+    /// The replicas' log positions when the primary was first found unresponsive.
     struct LogBaseline {
         Instant since;
         std::map<UpstreamName, Progress> received;
@@ -224,13 +234,14 @@
     void acquireLeaseIfFree(Instant now);
     void renewFromReplicas(Instant now);
     [[nodiscard]] bool isPrimary(const UpstreamName& name) const;
-    /// True while a replica may be there that the directory does not list.
+    /// True while a replica may exist that the directory does not list.
     [[nodiscard]] bool hasMissingReplica(Instant now) const;
-    /// Up to when every replica has confirmed that it follows the record's primary.
+    /// The instant up to which every replica has confirmed that it follows the record's primary.
     [[nodiscard]] Instant allReplicasConfirmedAt(Instant now) const;
-    /// A replica confirmed, when it was asked at that instant, that it follows the record's primary.
+    /// Records that a replica confirmed, in answer to a request sent at `askedAt`, that it follows the
+    /// record's primary.
     void recordConfirmation(Member& replica, Instant askedAt, Instant now);
-    /// Forgets what replicas confirmed, as it was another record.
+    /// Discards all confirmations; they were of another record.
     void clearConfirmations() noexcept;
     void adoptInitialPrimary(Instant now);
     void monitorPrimary(Instant now);
@@ -245,54 +256,58 @@
     void pauseReplicas(Instant now);
     void recordPause(
         const UpstreamName& upstream, const UpstreamStatus& status, Instant askedAt, Instant now);
-    /// True when every replica is paused and has been for the lifetime of a view.
+    /// True when every replica is paused and has been for `viewLifetime`.
     [[nodiscard]] bool areAllPausedForViewLifetime(Instant now) const;
-    /// When every view of the old primary has ended, as far as is known now.
+    /// When every view of the old primary has expired, as far as is known now.
     [[nodiscard]] Instant oldViewsExpireAt(Instant now) const;
-    /// True once the replica is known to have been paused for as long as a view lives.
+    /// True when the replica is known to have been paused for `viewLifetime`.
     [[nodiscard]] bool isPausedForViewLifetime(const Pause& pause) const noexcept;
-    /// True when every upstream but the old primary is paused.
+    /// True when every upstream except the old primary is paused.
     [[nodiscard]] bool areAllReplicasPaused() const;
-    /// Who leads the highest term, if that is `least` or above.
+    /// The upstream that leads the highest term, if that is `minTerm` or above.
     [[nodiscard]] std::optional<Leader> newestLeader(Term minTerm) const;
-    /// The replicas that may be promoted as far as this VM knows.
+    /// The replicas that may be promoted, as far as this VM knows.
     [[nodiscard]] std::vector<Candidate> findCandidates(Instant now);
-    /// The one that has received most, unless a promotion of another may still take effect.
+    /// The candidate that has received most of the log, among those for which no promotion of another
+    /// upstream can still take effect.
     [[nodiscard]] std::optional<Candidate> selectCandidate(Instant now);
-    /// Writes the choice down and, when every view of the old primary has ended, begins to promote it.
+    /// Writes the chosen replica into the record and, when every view of the old primary has expired, starts
+    /// its promotion.
     void startPromotion(Instant now);
     void sendPromotion(Instant now);
-    /// Who leads shows by asking, whichever promotion took effect.
+    /// Asks every upstream for its status, which shows the leader whichever promotion took effect.
     void askAllMembers(Instant now);
     void abandonPromotion();
     void completeReplacement(const Leader& leader, Instant now);
-    /// Deals with an upstream that leads a newer term than the record has; false when there is none.
+    /// Starts the change to an upstream that leads a newer term than the record's; returns false when there
+    /// is none.
     [[nodiscard]] bool replaceByNewerLeader(Instant now);
-    /// When every view of the old primary has ended, whatever made that upstream lead.
+    /// When every view of the old primary has expired, given that this upstream leads for whatever reason.
     [[nodiscard]] Instant oldViewsExpireAtUnder(const Leader& leader) const;
-    /// Notes since when the record holds the claim, before `next` takes the place of what is known.
+    /// Updates since when the record has contained the claim; to be called before `next` replaces the latest
+    /// snapshot's record.
     void updateClaimStart(const std::optional<LeadershipRecord>& next, Instant now);
     void reconcileUpstreams(Instant now);
     void writeRecord(LeadershipRecord record, Instant now);
-    /// True when no change that this VM has sent may still take effect.
+    /// True when no change that this VM has sent can still take effect.
     [[nodiscard]] bool hasNoPendingWrite() const noexcept;
-    /// Writes that `leader` leads in `term` and nobody claims the next one.
+    /// Writes a record that says that `leader` leads `term`, without a claim on the next term.
     void writeLeader(const UpstreamName& leader, Term term, Instant now);
-    /// True when the member was last asked or told something `interval` ago or longer, which counts as asking
-    /// it now.
+    /// Returns true and sets the time of the last request to now if `interval` has passed since that request.
     [[nodiscard]] static bool markAskedIfDue(Member& member, Duration interval, Instant now);
     void askStatus(Member& member, Instant now);
     void publishViewIfChanged(Instant now);
-    /// Notes when the view ends, comes back, or is vouched for by somebody else.
+    /// Logs when the view expires, becomes valid again, or is confirmed by another source.
     void logValidityChange(Instant now);
-    /// True when the view is to be renewed by asking replicas.
+    /// True when replicas should be asked to confirm the view.
     [[nodiscard]] bool needsReplicaConfirmation(Instant now) const noexcept;
-    /// A replica's word counts only where the view would have ended without it.
+    /// What the view's validity currently relies on. Replicas and siblings count only where the view would
+    /// have expired without their confirmation.
     [[nodiscard]] ViewSource viewSource(Instant now) const noexcept;
     void logEvent(std::string_view event, std::vector<std::pair<std::string, std::string>> fields);
-    /// The record as it is known; throws LeadershipError when none was read.
+    /// The latest record; throws LeadershipError when none was read.
     [[nodiscard]] const LeadershipRecord& record() const;
-    /// The token and revision of the duty; throws LeadershipError when this VM knows of no holder.
+    /// The current coordinator lease; throws LeadershipError when no VM is known to hold it.
     [[nodiscard]] const CoordinatorLease& coordinatorLease() const;
     [[nodiscard]] Member* find(const UpstreamName& name);
 
@@ -303,37 +318,37 @@
     bool hasSnapshot = false;
     bool recordMayBeStale = false;
     std::vector<Member> members;
-    /// When upstreams left the directory that had not announced their end.
+    /// When upstreams disappeared from the directory that had not been marked as draining.
     std::map<UpstreamName, Instant> missingSince;
-    /// What vouched for a view before this instant was wrong.
+    /// Confirmations from before this instant were wrong.
     Instant viewDisprovedAt = Instant::min();
-    /// Answers to statements of callers contradict the view.
+    /// Answers to callers' statements contradict the view.
     bool trafficContradictsView = false;
-    /// Up to when replicas have vouched for the view, to this VM or to a sibling.
+    /// The instant up to which replicas have confirmed the view, to this VM or to a sibling.
     Instant replicasConfirmedAt = Instant::min();
-    /// The replica that did last; empty when a sibling told.
+    /// The replica that confirmed last; empty when a sibling reported the confirmation.
     UpstreamName confirmedBy;
-    /// Up to when siblings have told that replicas did.
+    /// The instant up to which siblings have reported replicas' confirmations.
     Instant siblingConfirmedAt = Instant::min();
     bool confirmsForSiblings = true;
     std::unique_ptr<Replacement> replacement;
-    /// Since when the record is known to have held a claim without a break.
+    /// Since when the record is known to have contained a claim without interruption.
     std::optional<Instant> claimHeldSince;
     PendingPromotions pendingPromotions;
     std::unique_ptr<LogBaseline> logBaseline;
     std::optional<Instant> leaseFreeSince;
-    /// What was read before this instant says nothing of who holds the duty.
+    /// Reads of the store from before this instant do not tell who holds the coordinator lease.
     Instant leaseKnownFrom = Instant::min();
     Instant noAcquireBefore = Instant::min();
     Instant lastAcquireAt = Instant::min();
     Instant lastWriteAt = Instant::min();
     std::uint64_t changeCount = 0;
     std::string lastChangeId;
-    /// The revision that the last change expects.
+    /// The record revision that the last change expects.
     std::uint64_t lastExpectedRevision = 0;
     LeaderView publishedView;
     Instant lastPublishedAt = Instant::min();
-    /// What was noted last of the view: whether it held, and who vouched for it.
+    /// What was logged last about the view: whether it was valid, and its source.
     bool wasLoggedAsValid = false;
     ViewSource loggedSource = ViewSource::Store;
     Counters counts;
--- a/include/cyclamendrift/leadership/leadership_events.h
+++ b/include/cyclamendrift/leadership/leadership_events.h
@@ -15,49 +15,49 @@
 #include <variant>
 #include <vector>
 
-/// What a LeaderCoordinator is told and what it wants done.
+/// Inputs and actions of a LeaderCoordinator.
 namespace cyclamendrift {
 
-/// What an upstream says of itself when it is asked.
+/// The status that an upstream reports.
 struct UpstreamStatus {
     bool isPrimary = false;
     Term term {};
     /// How much of the log it has received.
     Progress received;
-    /// It receives nothing while this is above its term; 0 when it was not paused.
+    /// The replica is paused while this is above its term; 0 when it was not paused.
     Term pausedBelowTerm {};
 };
 
-/// The duty to look after a group: held by one VM at a time, under a lease.
+/// The lease of a group's coordinator: held by at most one VM at a time, and tied to that VM's own lease.
 struct CoordinatorLease {
     VmName holder;
-    /// Grows with each change of holder.
+    /// Fencing token; increases with each change of holder.
     std::uint64_t token = 0;
-    /// The revision at which the store holds it.
+    /// The revision of the lease's key in the store.
     std::uint64_t revision = 0;
 };
 
-/// Who vouches for a view of who leads.
+/// What the validity of a view relies on.
 enum class ViewSource : std::uint8_t {
     /// This VM has read the store.
     Store,
-    /// A sibling has read the store.
+    /// A sibling has read the store, or has reported replicas' confirmations.
     Sibling,
-    /// A replica follows the primary.
+    /// A replica has confirmed that it follows the primary.
     Replica,
 };
 
-/// The name of a source, as log lines have it.
+/// The name of a source as it appears in log lines.
 [[nodiscard]] std::string_view nameOf(ViewSource source) noexcept;
 
-/// What the store says of a group, as of one moment.
+/// What the store contains about a group at one moment.
 struct LeadershipSnapshot {
     std::optional<LeadershipRecord> record;
     std::uint64_t recordRevision = 0;
     std::optional<CoordinatorLease> coordinatorLease;
-    /// When the store was asked; everything acknowledged before is in the snapshot.
+    /// When the read was sent; every change acknowledged before is in the snapshot.
     Instant askedAt;
-    /// Store or Sibling.
+    /// Who read the store: `Store` or `Sibling`.
     ViewSource source = ViewSource::Store;
 };
 
@@ -65,7 +65,7 @@
 struct AskStatus {
     UpstreamName upstream;
 };
-/// Make a replica stop receiving below a term, and tell its status.
+/// Make a replica stop receiving from primaries of a term below `term`, and return its status.
 struct PauseReplica {
     UpstreamName upstream;
     Term term {};
@@ -74,38 +74,38 @@
 struct ResumeReplica {
     UpstreamName upstream;
 };
-/// Make a primary of a lower term a replica.
+/// Turn a primary of a term below `term` into a replica.
 struct DemotePrimary {
     UpstreamName upstream;
     Term term {};
 };
-/// Take the duty of the group, which nobody holds.
+/// Acquire the coordinator lease of the group, which no VM holds.
 struct AcquireCoordinatorLease { };
-/// Give the duty up, because another VM can do it better.
+/// Release the coordinator lease, because another VM is in a better position to hold it.
 struct ReleaseCoordinatorLease {
     std::uint64_t revision = 0;
 };
-/// Change the record if it and the duty stand at these revisions.
+/// Change the record if the record and the coordinator lease are at these revisions.
 struct WriteLeadershipRecord {
     LeadershipRecord record;
     std::uint64_t expectedRevision = 0;
     std::uint64_t leaseRevision = 0;
 };
-/// Name the upstream that takes over.
+/// Ask the platform to promote an upstream.
 struct PromoteUpstream {
     UpstreamName upstream;
     std::uint64_t token = 0;
 };
-/// Hand a view to whoever sends statements.
+/// Pass the view on to the components that send statements.
 struct PublishView {
     LeaderView view;
 };
-/// A change of belief that the log should hold.
+/// Write a log line about a change in what this VM knows about the group.
 struct LogLeadershipEvent {
     std::string event;
     std::vector<std::pair<std::string, std::string>> fields;
 };
-/// Anything that a coordinator wants done.
+/// An action that a LeaderCoordinator requests.
 using LeadershipAction
     = std::variant<AskStatus, PauseReplica, ResumeReplica, DemotePrimary, AcquireCoordinatorLease,
         ReleaseCoordinatorLease, WriteLeadershipRecord, PromoteUpstream, PublishView, LogLeadershipEvent>;
--- a/include/cyclamendrift/leadership/pending_promotions.h
+++ b/include/cyclamendrift/leadership/pending_promotions.h
@@ -7,11 +7,11 @@
 
 namespace cyclamendrift {
 
-/// The promotions of a group that may still take effect, as far as one VM knows. Two of them under way at
-/// once would make two primaries.
+/// The promotions of a group that may still take effect, as far as one VM knows. Two of them at once could
+/// result in two primaries.
 class PendingPromotions {
 public:
-    /// What was sent has taken effect `settleTime` later, or never will.
+    /// A promotion has taken effect `settleTime` after it was sent, or never will.
     explicit PendingPromotions(Duration settleTime) noexcept
         : settleTime(settleTime)
     {
@@ -19,9 +19,10 @@
 
     /// This VM sends a promotion.
     void recordSent(const UpstreamName& upstream, Instant now);
-    /// Former holders of the duty may have sent some, the last of them before `now`.
+    /// Former coordinators may have sent promotions of this upstream, the last of them before `now`.
     void recordInherited(const UpstreamName& upstream, Instant now);
-    /// One promotion has taken effect or was refused. Where more than one was sent, the others remain.
+    /// A promotion of this upstream has taken effect or was refused. When more than one was sent, they all
+    /// stay pending.
     void recordOutcome(const UpstreamName& upstream);
     /// True when a promotion of another upstream may still take effect.
     [[nodiscard]] bool isOtherPending(const UpstreamName& upstream, Instant now) const;
--- a/src/leadership/leader_coordinator.cpp
+++ b/src/leadership/leader_coordinator.cpp
@@ -16,14 +16,14 @@
 const LeadershipRecord& LeaderCoordinator::record() const
 {
     if (!this->latestSnapshot.record)
-        throw LeadershipError { "nothing was read of who leads" };
+        throw LeadershipError { "no leadership record has been read" };
     return *this->latestSnapshot.record;
 }
 
 const CoordinatorLease& LeaderCoordinator::coordinatorLease() const
 {
     if (!this->latestSnapshot.coordinatorLease)
-        throw LeadershipError { "nobody is known to hold the duty" };
+        throw LeadershipError { "no VM is known to hold the coordinator lease" };
     return *this->latestSnapshot.coordinatorLease;
 }
 
@@ -47,7 +47,7 @@
 
 void LeaderCoordinator::onSnapshot(const LeadershipSnapshot& snapshot, Instant now)
 {
-    // An answer that was on its way while this VM wrote the record may still hold the one before.
+    // A read that was in flight while this VM wrote the record may still return the previous one.
     const bool older = snapshot.askedAt < this->latestSnapshot.askedAt
         || snapshot.recordRevision < this->latestSnapshot.recordRevision;
     if (this->hasSnapshot && older)
@@ -73,7 +73,7 @@
     }
     if (snapshot.record)
         this->onClaimWritten(*snapshot.record, now);
-    // The answer to the change that settled it may have been lost.
+    // The answer to the write that completed the replacement may have been lost.
     const bool settled = snapshot.record && snapshot.record->isSettled();
     if (this->replacement && settled && !this->replacement->claimPending)
         this->replacement.reset();
@@ -121,7 +121,7 @@
         return;
     member->lastAnswer = std::max(member->lastAnswer, lastAnswer);
     member->trafficFailingSince = failingSince;
-    // What is told of one upstream is told of all of the group.
+    // The flag applies to the whole group, whichever upstream the call names.
     this->trafficContradictsView = contradictsView;
     if (contradictsView)
         this->recordMayBeStale = true;
@@ -145,13 +145,13 @@
     const auto& record = this->latestSnapshot.record;
     if (!record)
         return;
-    // A newer primary leads, whatever the store or another replica said up to now.
+    // A newer primary leads, whatever the store or another replica reported before.
     if (status.term > record->term) {
         this->recordMayBeStale = true;
         this->viewDisprovedAt = now;
     }
-    // A promotion ends the pause of every replica, and one that lags answers as before until it hears of the
-    // new term. By then each view has ended; only what still holds may be prolonged.
+    // A promotion ends the pause of every replica, and a lagging replica answers as before until it learns of
+    // the new term. By then every old view has expired, so only a view that is still valid may be extended.
     const bool confirms = !status.isPrimary && status.term == record->term
         && status.pausedBelowTerm <= record->term && upstream != record->primary && this->view().holds(now);
     if (confirms)
@@ -167,7 +167,7 @@
     auto* member = this->find(upstream);
     if (member == nullptr)
         return;
-    // Traffic may have got an answer since the last question that failed.
+    // Traffic may have received an answer since the last status request that failed.
     const auto& since = member->queriesFailingSince;
     if (!since || *since <= member->lastAnswer)
         member->queriesFailingSince = now;
@@ -175,7 +175,7 @@
 
 void LeaderCoordinator::onRecordWritten(const LeadershipRecord& record, std::uint64_t revision, Instant now)
 {
-    // An answer may be overtaken by a reading of what came after it.
+    // A read of a later record may overtake the answer to this write.
     if (revision < this->latestSnapshot.recordRevision)
         return;
     this->updateClaimStart(record, now);
@@ -184,7 +184,8 @@
     this->clearConfirmations();
     if (record.isSettled()) {
         this->replacement.reset();
-        // The swap itself read the store at a moment after it was sent; the next snapshot renews the view.
+        // The swap took place at an unknown moment after it was sent, so it does not renew the view; the next
+        // snapshot does.
         this->recordMayBeStale = true;
     }
     this->onClaimWritten(record, now);
@@ -305,23 +306,24 @@
     if (this->replaceByNewerLeader(now))
         return;
     if (primary == nullptr)
-        return this->claimNextTerm(false, "the primary is gone from the directory", now);
+        return this->claimNextTerm(false, "the primary is not listed in the directory", now);
     if (primary->entry.draining)
-        return this->claimNextTerm(true, "the primary is leaving", now);
+        return this->claimNextTerm(true, "the primary is draining", now);
     const bool steppedDown
         = primary->status && !primary->status->isPrimary && primary->status->term <= record.term;
     if (steppedDown && primary->statusAt > this->latestSnapshot.askedAt - this->options.settings.viewLifetime)
-        return this->claimNextTerm(false, "the primary says that it is a replica", now);
+        return this->claimNextTerm(false, "the primary reports that it is a replica", now);
     if (!this->isPrimaryUnresponsive(now)) {
-        // A claim that was never written has come to nothing.
+        // The primary counts as running, so a claim that was never written is dropped.
         this->replacement.reset();
         this->logBaseline.reset();
         return;
     }
     if (this->isReplicaLogGrowing(now)) {
-        // Replicas receive what the primary writes, so it serves others and only this VM is cut off from it.
+        // Replicas receive what the primary writes, so it serves other VMs and only this VM is cut off from
+        // it.
         this->logEvent("duty_yielded",
-            { { "primary", record.primary.string() }, { "reason", "its log grows elsewhere" } });
+            { { "primary", record.primary.string() }, { "reason", "replicas still receive its log" } });
         this->noAcquireBefore = now + this->options.settings.leaseReacquireDelay;
         this->logBaseline.reset();
         this->actions.emplace_back(ReleaseCoordinatorLease { this->coordinatorLease().revision });
--- a/src/leadership/leadership_record.cpp
+++ b/src/leadership/leadership_record.cpp
@@ -20,7 +20,7 @@
 {
     wire::LeadershipRecord message;
     if (!message.ParseFromString(std::string { value }))
-        throw LeadershipError { "a record of who leads a group cannot be read" };
+        throw LeadershipError { "a stored leadership record cannot be parsed" };
     return { .term = Term { message.term() },
         .primary = UpstreamName { message.primary() },
         .claimedTerm = Term { message.claimed_term() },
--- a/src/leadership/pending_promotions.cpp
+++ b/src/leadership/pending_promotions.cpp
@@ -18,7 +18,7 @@
 
 void PendingPromotions::recordOutcome(const UpstreamName& upstream)
 {
-    // Which of several promotions an outcome belongs to is not known.
+    // When several promotions were sent, an outcome does not tell to which of them it belongs.
     const auto entry = this->sent.find(upstream);
     if (entry != this->sent.end() && !entry->second.repeated)
         this->sent.erase(entry);
--- a/src/leadership/promotion.cpp
+++ b/src/leadership/promotion.cpp
@@ -5,8 +5,9 @@
 #include <algorithm>
 #include <utility>
 
-// How the holder of a group's duty chooses and promotes a replica, and learns who leads. Two promotions at
-// once would make two primaries, so one is sent only for the replica that the record names.
+// Selection and promotion of a replica by the group's coordinator, and detection of the upstream that leads.
+// Two promotions at once could result in two primaries, so a promotion is sent only for the replica that the
+// record names.
 namespace cyclamendrift {
 
 bool LeaderCoordinator::areAllReplicasPaused() const
@@ -34,8 +35,8 @@
 {
     const auto& refused = this->replacement->refused;
     const auto& paused = this->replacement->paused;
-    // One that is known to have been paused all along suffices to end every view; which one is promoted does
-    // not matter for that.
+    // One replica that is known to have been paused for the whole view lifetime is enough for every view to
+    // have expired; it need not be the one that is promoted.
     const bool viewsExpired = std::any_of(paused.begin(), paused.end(),
         [this](const auto& item) { return this->isPausedForViewLifetime(item.second); });
     std::vector<Candidate> found;
@@ -54,7 +55,7 @@
 std::optional<LeaderCoordinator::Candidate> LeaderCoordinator::selectCandidate(Instant now)
 {
     auto found = this->findCandidates(now);
-    // When every one was refused, they may be running again by now.
+    // When all replicas were refused, they may be running again by now, so all are considered again.
     if (found.empty() && now >= this->oldViewsExpireAt(now))
         this->replacement->refused.clear();
     std::erase_if(found, [this, now](const Candidate& candidate) {
@@ -68,7 +69,7 @@
 void LeaderCoordinator::startPromotion(Instant now)
 {
     auto& replacement = *this->replacement;
-    // Replicas receive nothing while they are paused, so the choice can be written while views end.
+    // Paused replicas receive nothing, so the choice can be written while views are still expiring.
     if (!this->areAllReplicasPaused() && now < replacement.claimedAt + this->options.settings.viewLifetime)
         return;
     const auto best = this->selectCandidate(now);
@@ -101,7 +102,8 @@
         this->abandonPromotion();
         return;
     }
-    // One that has fallen silent would only be waited for longer.
+    // A further promotion of a replica that no longer answers would only prolong the wait until it is
+    // settled.
     const bool answers = promoted->lastAnswer >= replacement.lastPromotionAt;
     if (answers && now >= replacement.lastPromotionAt + settings.promotionRetryInterval) {
         replacement.lastPromotionAt = now;
@@ -150,7 +152,7 @@
             this->askAllMembers(now);
         return false;
     }
-    // Whoever reads the claim gives up its view of the old primary.
+    // A VM that reads the claim gives up its view of the old primary.
     if (leader->name == record.primary)
         this->writeLeader(leader->name, leader->term, now);
     else
@@ -162,13 +164,13 @@
 {
     const auto& settings = this->options.settings;
     const auto& replacement = *this->replacement;
-    // A holder waits before it promotes what it has chosen.
+    // A coordinator waits for the old views to expire before it promotes the replica that it has chosen.
     const bool coordinatorWaited
         = replacement.lastPromotionAt != Instant::min() || leader.name == replacement.inheritedChoice;
     if (coordinatorWaited || this->isPrimary(leader.name))
         return Instant::min();
-    // One replica's word prolongs a view for a moment after the store was read, that of all of them until one
-    // has become the leader.
+    // One replica extends a view for `singleReplicaPeriod` after the store was read; all replicas together
+    // extend it until one of them has become the leader.
     const auto claimed = this->claimHeldSince.value_or(replacement.claimedAt);
     return std::max(claimed + settings.singleReplicaPeriod, leader.since) + settings.viewLifetime
         + settings.viewMargin;
@@ -180,7 +182,8 @@
         this->claimHeldSince.reset();
         return;
     }
-    // A change of this VM followed what it knew; before one of another VM the claim may have been withdrawn.
+    // A change by this VM directly followed the record that it knew; before a change by another VM the claim
+    // may have been withdrawn.
     const auto& previous = this->latestSnapshot.record;
     const bool unbroken = this->claimHeldSince && previous
         && (next->changeId == previous->changeId || next->changeId == this->lastChangeId);
--- a/src/leadership/replacement.cpp
+++ b/src/leadership/replacement.cpp
@@ -5,9 +5,9 @@
 #include <algorithm>
 #include <utility>
 
-// How the holder of a group's duty replaces its primary: claim the next term in the store, pause the
-// replicas, write down which of them has received most, wait until every view of the old primary has ended,
-// promote it, write down who leads. See promotion.cpp for the choice and what follows it.
+// Replacement of a primary by the group's coordinator: claim the next term in the store, pause the replicas,
+// write down which of them has received most, wait until every view of the old primary has expired, promote
+// that replica, and write down the new leader. See promotion.cpp for the selection and the steps after it.
 namespace cyclamendrift {
 
 namespace {
@@ -29,7 +29,7 @@
     if (now < this->lastWriteAt + this->options.settings.storeRetryInterval)
         return;
     const auto term = next(record.term);
-    // A claim whose write has no answer yet is the same one.
+    // A claim whose write is not answered yet is the same one.
     if (!this->replacement)
         this->logEvent("replacing_primary",
             { { "primary", record.primary.string() }, { "term", textOf(term) },
@@ -42,8 +42,8 @@
 void LeaderCoordinator::continueReplacement(Instant now)
 {
     const auto& record = this->record();
-    // A claim of another VM, or of an earlier turn of this one, is taken over by writing it anew: from then
-    // on whoever wrote it before cannot change the record, and this VM knows that the record holds it.
+    // A claim of another VM, or of an earlier lease of this one, is taken over by writing it again: from then
+    // on its previous author cannot change the record, and this VM knows that the record contains the claim.
     if (!this->replacement) {
         const auto* primary = this->find(record.primary);
         this->replacement = std::make_unique<Replacement>(Replacement {
@@ -64,8 +64,8 @@
         return;
     }
     if (!this->replacement->attemptedPrimary.empty()) {
-        // Whether the record still holds the claim is not known any more; promoting now could make two
-        // primaries.
+        // It is no longer known whether the record still contains the claim; promoting now could result in
+        // two primaries.
         this->replacement.reset();
         return;
     }
@@ -86,7 +86,7 @@
         return;
     this->replacement->claimedAt = now;
     this->replacement->inheritedChoice = record.chosen;
-    // Whoever wrote that choice may have promoted it until this claim took its place.
+    // The author of that choice may have promoted it until this claim replaced the record.
     if (!record.chosen.empty())
         this->pendingPromotions.recordInherited(record.chosen, now);
 }
@@ -107,8 +107,8 @@
 
 void LeaderCoordinator::cancelReplacement(Instant now)
 {
-    // Nobody was promoted under this claim, and the old primary is there with its whole log: keeping it loses
-    // nothing.
+    // No replica was promoted under this claim, and the old primary is running with its whole log, so keeping
+    // it loses nothing.
     const auto& record = this->record();
     if (std::exchange(this->replacement->attemptedPrimary, record.primary) != record.primary)
         this->logEvent("primary_is_back", { { "primary", record.primary.string() } });
@@ -137,7 +137,8 @@
             continue;
         if (const auto pause = this->replacement->paused.find(member.entry.name);
             pause != this->replacement->paused.end()) {
-            // It is asked once more at the end, as a restart in between would not show otherwise.
+            // The replica is asked once more at the end, because a restart in between would otherwise go
+            // unnoticed.
             const bool due = now >= pause->second.since + settings.viewLifetime;
             if (due && !this->isPausedForViewLifetime(pause->second))
                 this->askStatus(member, now);
@@ -145,7 +146,8 @@
         }
         if (!markAskedIfDue(member, settings.askInterval, now))
             continue;
-        // A replica that still receives what the demoted primary has written is left to it for a moment.
+        // A replica that is still receiving what the demoted primary has written may continue for
+        // `catchUpTimeout`.
         const auto& demoted = this->replacement->demotedProgress;
         const bool mayCatchUp
             = this->replacement->planned && now < this->replacement->claimedAt + settings.catchUpTimeout;
@@ -162,7 +164,7 @@
     const UpstreamName& upstream, const UpstreamStatus& status, Instant askedAt, Instant now)
 {
     auto& paused = this->replacement->paused;
-    // A restart ends a pause, and the replica may have vouched for the old primary since. It is paused anew.
+    // A restart ends a pause, and the replica may have confirmed the old primary since. It is paused again.
     if (status.pausedBelowTerm < this->replacement->term) {
         paused.erase(upstream);
         return;
@@ -193,8 +195,8 @@
     const auto& settings = this->options.settings;
     const auto& replacement = *this->replacement;
     const auto lifetime = settings.viewLifetime + settings.viewMargin;
-    // A replica that could not be paused may alone vouch for the old primary to VMs that the store turns
-    // away.
+    // A replica that could not be paused may on its own confirm the old primary to VMs that cannot read the
+    // store.
     if (!this->areAllPausedForViewLifetime(now))
         return replacement.claimedAt + settings.singleReplicaPeriod + lifetime;
     auto from = replacement.claimedAt;
--- a/src/leadership/term_text.h
+++ b/src/leadership/term_text.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-/// Terms and positions as the log shows them.
+/// Formats terms and log positions for log lines.
 namespace cyclamendrift {
 
 [[nodiscard]] inline std::string textOf(Term term)
--- a/src/leadership/view_renewal.cpp
+++ b/src/leadership/view_renewal.cpp
@@ -6,13 +6,13 @@
 #include <string>
 #include <utility>
 
-// For how long a VM may act on its view of the primary: who vouches for it, and how it is renewed while the
-// store is silent.
+// Validity of a VM's view of the primary: what it relies on, and how it is renewed while the store cannot be
+// read.
 namespace cyclamendrift {
 
 namespace {
 
-// How often a view that did not change is handed on again with its new end.
+// A view whose only change is a later expiry is published at this interval.
 constexpr Duration publishInterval = std::chrono::milliseconds { 250 };
 
 std::string formatAge(Instant since, Instant now)
@@ -125,7 +125,7 @@
 void LeaderCoordinator::renewFromReplicas(Instant now)
 {
     const auto& settings = this->options.settings;
-    // What has ended cannot be prolonged.
+    // An expired view cannot be extended.
     if (!this->needsReplicaConfirmation(now) || !this->view().holds(now))
         return;
     for (auto& member : this->members) {
--- a/tests/leadership/leader_coordinator_test.cpp
+++ b/tests/leadership/leader_coordinator_test.cpp
@@ -19,7 +19,7 @@
     CHECK(simulation.violations.empty());
 }
 
-// The directory says from now on that the upstream is leaving.
+// From now on the directory lists the upstream as draining.
 void markDraining(LeadershipSimulation& simulation, const std::string& leaving)
 {
     UpstreamDirectory directory;
@@ -31,7 +31,7 @@
         simulation.vm(index).coordinator.onDirectory(directory, simulation.now);
 }
 
-// Replicas lag, restart and answer late, promotions take effect late, VMs freeze and are turned away.
+// Replicas lag, restart and answer late, promotions take effect late, VMs freeze and cannot reach the store.
 void runWithLaggingReplicas(LeadershipSimulation& simulation, std::uint64_t seed)
 {
     std::mt19937_64 random { seed };
@@ -77,7 +77,7 @@
     simulation.advance(25s);
 }
 
-// The first VM replaces the primary and has begun to promote replica-1.
+// The first VM replaces the primary and has started to promote replica-1.
 void promoteFirstReplica(LeadershipSimulation& simulation)
 {
     simulation.member("primary").running = false;
@@ -85,7 +85,7 @@
     REQUIRE(simulation.logged("primary_replaced") == 0);
 }
 
-/// The entries of these upstreams, as a VM's directory has them.
+/// Directory entries of these upstreams.
 UpstreamDirectory directoryOf(LeadershipSimulation& simulation, const std::vector<std::string>& names)
 {
     UpstreamDirectory directory;
@@ -94,7 +94,7 @@
     return directory;
 }
 
-// The most primaries that VMs could act on at one moment of that time.
+// The highest number of primaries that VMs could act on at one moment of that time.
 std::size_t maxPrimariesInUse(LeadershipSimulation& simulation, Duration time)
 {
     std::size_t highest = 0;
@@ -105,7 +105,7 @@
     return highest;
 }
 
-// The last VM is turned away by the store, and a replica that hears late of a new term vouches for its view.
+// The last VM cannot reach the store, and a replica that learns late of a new term confirms its view.
 void keepOldViewOnLastVm(LeadershipSimulation& simulation)
 {
     simulation.vm(2).storeUnreachableUntil = simulation.now + 20s;
@@ -114,9 +114,9 @@
 
 } // namespace
 
-TEST_SUITE("who leads a group")
+TEST_SUITE("leadership of a group")
 {
-    TEST_CASE("a new system finds the primary that is there, and promotes nobody")
+    TEST_CASE("a new system adopts the existing primary and promotes no replica")
     {
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
@@ -125,10 +125,10 @@
         CHECK(simulation.allFollowLeader());
     }
 
-    TEST_CASE("a primary that dies is replaced by the replica that has received most")
+    TEST_CASE("a failed primary is replaced by the replica that has received most")
     {
-        // The primary dies at night. One replica was behind; promoting it would lose what the other still
-        // has.
+        // Guards against losing commits: one replica lags, and promoting it would lose what the other has
+        // received.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.member("replica-1").pausedBelowTerm = 2;
@@ -143,9 +143,9 @@
         CHECK(simulation.violations.empty());
     }
 
-    TEST_CASE("a primary that announces its end is replaced without losing what it wrote")
+    TEST_CASE("a draining primary is replaced without losing writes")
     {
-        // A contractor takes the primary out of service in the middle of the day.
+        // Guards against losing writes when a running primary is taken out of service.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         markDraining(simulation, "primary");
@@ -157,10 +157,10 @@
         CHECK(simulation.violations.empty());
     }
 
-    TEST_CASE("a VM that alone is cut off from the primary hands the duty on instead of replacing it")
+    TEST_CASE("a coordinator that alone cannot reach the primary releases its lease and does not replace the "
+              "primary")
     {
-        // Something between one VM and the primary breaks. Everybody else is served; a promotion would
-        // interrupt them all for nothing.
+        // Guards against a promotion that interrupts everybody because a single VM cannot reach the primary.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.vm(0).unreachableUpstreams = { UpstreamName { "primary" } };
@@ -170,10 +170,10 @@
         CHECK(simulation.violations.empty());
     }
 
-    TEST_CASE("while the store is down views are renewed by replicas, and writes go on")
+    TEST_CASE("replicas renew views while the store is unreachable, and writes continue")
     {
-        // The platform's store is away for nine seconds. Nobody can claim a term then, so whoever led goes on
-        // leading.
+        // Guards against an interruption of writes while the store cannot be reached. No VM can claim a term
+        // then, so the primary stays the leader.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.storeDown = true;
@@ -186,16 +186,16 @@
         CHECK(simulation.promotions() == 0);
     }
 
-    TEST_CASE("a VM that the store turns away learns from paused replicas that its view has ended")
+    TEST_CASE("the view of a VM that cannot reach the store expires when replicas are paused")
     {
-        // The store turns one VM away while the others replace the primary, which this VM still reaches. Were
-        // it to go on writing there, callers would be told of success for what the new primary does not have.
+        // The VM cannot reach the store while the others replace the primary, which this VM still reaches.
+        // Guards against acknowledging writes there that the new primary does not have.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.vm(2).storeUnreachableUntil = simulation.now + 20s;
         for (std::size_t index = 0; index < 2; ++index)
             simulation.vm(index).unreachableUpstreams = { UpstreamName { "primary" } };
-        // The replicas cannot be reached by the primary either, so that its log does not grow there.
+        // The primary cannot reach the replicas either, so their logs do not grow.
         simulation.member("replica-1").pausedBelowTerm = 1;
         simulation.member("primary").running = true;
         simulation.advance(1s);
@@ -204,9 +204,9 @@
         CHECK(simulation.violations.empty());
     }
 
-    TEST_CASE("the log tells when replicas renew a view and when it ends")
+    TEST_CASE("the log shows when replicas renew a view and when it expires")
     {
-        // Guards against a failover in which nobody can tell who vouched for a VM's view.
+        // Guards against a failover whose log does not tell what the validity of a VM's view relied on.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         const auto logged = [&simulation](const std::string& line) {
@@ -226,9 +226,9 @@
         CHECK_FALSE(logged("vm-0 leader_view_source"));
     }
 
-    TEST_CASE("the log tells once that a primary is replaced and by whom, however long writes take")
+    TEST_CASE("a replacement and the chosen replica are logged once, however long writes take")
     {
-        // Guards against a log that a store without answers fills with one line a tick.
+        // Guards against one log line per tick while the store does not answer.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.member("primary").running = false;
@@ -242,9 +242,9 @@
         CHECK(simulation.logged("primary_replaced") == 1);
     }
 
-    TEST_CASE("the log tells of each of two replacements")
+    TEST_CASE("each of two replacements is logged")
     {
-        // Guards against a note that is left out because one like it was made before.
+        // Guards against an event that is not logged because an equal one was logged before.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.member("primary").running = false;
@@ -259,9 +259,9 @@
     }
 
     TEST_CASE(
-        "a view that has ended does not come back through a replica that has not heard of the new primary")
+        "an expired view does not become valid again by a replica that has not learned of the new primary")
     {
-        // Guards against reads at a former primary by a VM that the store turns away during a failover.
+        // Guards against reads at a former primary by a VM that cannot reach the store during a failover.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.vm(2).storeUnreachableUntil = simulation.now + 20s;
@@ -274,7 +274,7 @@
         CHECK(simulation.violations.empty());
     }
 
-    TEST_CASE("a replica that restarts while it is paused does not keep a view of the old primary up")
+    TEST_CASE("a replica that restarts while paused does not extend a view of the old primary")
     {
         // Guards against a promotion that relies on a pause which a restart has ended.
         LeadershipSimulation simulation { {} };
@@ -292,10 +292,10 @@
         CHECK(simulation.violations.empty());
     }
 
-    TEST_CASE("a replica that restarts while it is paused does not keep up a view that was read just before")
+    TEST_CASE("a replica that restarts while paused does not extend a view that was read just before")
     {
-        // Guards against the same with a VM that heard of the store until the claim, for which one replica's
-        // word still counts.
+        // Guards against the same with a VM that read the store until the claim, so that the confirmation of
+        // one replica still suffices.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.member("replica-2").lag = 3s;
@@ -315,9 +315,9 @@
         CHECK(simulation.violations.empty());
     }
 
-    TEST_CASE("an answer that comes after the view has ended does not bring it back")
+    TEST_CASE("an answer that arrives after the view has expired does not make it valid again")
     {
-        // Guards against a replica's late answer that was given before it was paused, or after its pause.
+        // Guards against a late answer of a replica that was given before it was paused, or after its pause.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         auto& vm = simulation.vm(2);
@@ -330,9 +330,9 @@
         CHECK_FALSE(vm.coordinator.view().holds(simulation.now));
     }
 
-    TEST_CASE("a replica that the promoter cannot reach does not keep a view of the old primary up")
+    TEST_CASE("a replica that the coordinator cannot reach does not extend a view of the old primary")
     {
-        // Guards against a VM that the store turns away and that reaches a replica which was never paused.
+        // Guards against a VM that cannot reach the store but reaches a replica which was never paused.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.vm(2).storeUnreachableUntil = simulation.now + 20s;
@@ -347,10 +347,10 @@
     }
 
     TEST_CASE(
-        "a replica that is missing from the promoter's directory does not keep a view of the old primary up")
+        "a replica that the coordinator's directory does not list does not extend a view of the old primary")
     {
-        // Guards against a promoter that waits only for the replicas it lists, while a VM that the store
-        // turns away lists one more.
+        // Guards against a coordinator that waits only for the replicas it lists, while a VM that cannot
+        // reach the store lists one more.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.member("replica-2").lag = 10s;
@@ -359,7 +359,7 @@
                 directoryOf(simulation, { "primary", "replica-1" }), simulation.now);
         simulation.member("primary").running = false;
         REQUIRE(simulation.advanceUntil(6s, [&] {
-            // Its last reading is the one just before the claim.
+            // Its last read is the one just before the claim.
             simulation.vm(2).nextRead = simulation.now;
             return std::find(simulation.loggedEvents.begin(), simulation.loggedEvents.end(),
                        "vm-0 replacing_primary")
@@ -372,10 +372,10 @@
         CHECK(simulation.violations.empty());
     }
 
-    TEST_CASE("a VM that does not list the replica which is promoted loses its view of the old primary")
+    TEST_CASE("the view of a VM that does not list the promoted replica expires")
     {
-        // Guards against a VM that the store turns away and that takes the replicas it lists for all there
-        // are.
+        // Guards against a VM that cannot reach the store and assumes that there are no replicas beyond those
+        // it lists.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.vm(2).storeUnreachableUntil = simulation.now + 20s;
@@ -391,10 +391,10 @@
         CHECK(simulation.violations.empty());
     }
 
-    TEST_CASE("a paused replica that received most is promoted even if it is out of reach for a moment")
+    TEST_CASE("a paused replica that has received most is promoted even if it is briefly unreachable")
     {
         // Guards against the loss of commits that only one replica has, which answers the pause and misses
-        // the question after it.
+        // the next status request.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.member("replica-1").pausedBelowTerm = 2;
@@ -412,10 +412,10 @@
         CHECK(simulation.violations.empty());
     }
 
-    TEST_CASE("a replica that was paused anew after a restart is promoted if it has received most")
+    TEST_CASE("a replica that was paused again after a restart is promoted if it has received most")
     {
-        // Guards against the loss of commits that only one replica has, which can be reached all the time and
-        // has not been paused for as long as the other.
+        // Guards against the loss of commits that only one replica has, which is reachable all the time but
+        // has been paused for a shorter time than the other.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.member("replica-1").pausedBelowTerm = 2;
@@ -431,9 +431,10 @@
         CHECK(simulation.violations.empty());
     }
 
-    TEST_CASE("the answer to a write that comes after a newer record was read brings no older view back")
+    TEST_CASE(
+        "the answer to a write that arrives after a newer record was read does not restore the older view")
     {
-        // Guards against a former holder of the duty that is told late of its own change.
+        // Guards against a former coordinator that receives the answer to its own write late.
         const Instant start { 1000s };
         const VmName self { "vm-0" };
         const VmName other { "vm-1" };
@@ -458,9 +459,9 @@
         CHECK_FALSE(coordinator.view().holds(start + 20ms));
     }
 
-    TEST_CASE("a replica of a newer term ends the view of a VM that the store turns away")
+    TEST_CASE("a replica of a newer term ends the view of a VM that cannot reach the store")
     {
-        // Guards against a view that goes on although an upstream has shown that a newer primary leads.
+        // Guards against a view that stays valid although an upstream has shown that a newer primary leads.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         auto& vm = simulation.vm(2);
@@ -477,9 +478,9 @@
         }));
     }
 
-    TEST_CASE("the holder of the duty looks for a newer primary when callers' statements show one")
+    TEST_CASE("the coordinator asks for a newer primary when callers' statements show one")
     {
-        // Guards against a group that stays without a primary because nobody asks who leads.
+        // Guards against a group that stays without a primary because no VM asks who leads.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         auto& holder = simulation.vm(0).coordinator;
@@ -492,9 +493,9 @@
         }));
     }
 
-    TEST_CASE("a view that has ended comes back by a sibling whose view of the same record holds")
+    TEST_CASE("an expired view becomes valid again by a sibling's valid view of the same record")
     {
-        // Guards against a VM that refuses its callers while its siblings are known to be right.
+        // Guards against a VM that refuses its callers while its siblings' views are known to be right.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         auto& vm = simulation.vm(2);
@@ -511,9 +512,9 @@
         CHECK(vm.coordinator.view().validUntil == sibling.view().validUntil);
     }
 
-    TEST_CASE("a VM that leaves replicas to its siblings asks them itself before its view ends")
+    TEST_CASE("a VM that relies on its siblings asks replicas itself before its view expires")
     {
-        // Guards against a VM without siblings that waits for them until it can serve nobody.
+        // Guards against a VM without siblings that waits for their reports until its view has expired.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         auto& vm = simulation.vm(2);
@@ -524,10 +525,9 @@
         CHECK(vm.coordinator.counters().viewsExpired == 0);
     }
 
-    TEST_CASE("without the store one replica keeps a view up for a moment only, all of them for long")
+    TEST_CASE("without the store one replica extends a view only briefly, all replicas without limit")
     {
-        // Guards against a primary that is taken away from its callers while all of its replicas vouch for
-        // it.
+        // Guards against losing the primary while all of its replicas confirm it.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.storeDown = true;
@@ -541,10 +541,10 @@
         awaitLeader(simulation);
     }
 
-    TEST_CASE("a holder that dies between its claim and the promotion is followed by another VM")
+    TEST_CASE("another VM continues when the coordinator fails between its claim and the promotion")
     {
-        // The VM that replaces the primary is killed half way. The group must not stay without a primary
-        // until somebody wakes up.
+        // Guards against a group that stays without a primary when the coordinator fails half way through a
+        // replacement.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.member("primary").running = false;
@@ -557,10 +557,10 @@
         CHECK(simulation.violations.empty());
     }
 
-    TEST_CASE("a holder of the duty without any traffic of its own notices that the primary has died")
+    TEST_CASE("a coordinator without traffic detects that the primary has failed")
     {
-        // The balancer sends no caller to the VM that looks after the group, or only callers of other groups.
-        // All it knows of the primary is what it asks itself; callers at the other VMs would wait for ever.
+        // The load balancer sends this VM no callers, or only callers of other groups. Guards against a
+        // coordinator that learns of a failed primary only from traffic, while callers at other VMs wait.
         LeadershipSimulation simulation { {} };
         for (std::size_t index = 0; index < 3; ++index)
             simulation.vm(index).idle = true;
@@ -572,7 +572,7 @@
         CHECK(simulation.violations.empty());
     }
 
-    TEST_CASE("a primary that was only silent for a moment goes on leading")
+    TEST_CASE("the group has a leader again after the primary was briefly unreachable")
     {
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
@@ -586,9 +586,9 @@
 
 TEST_SUITE("one promotion at a time")
 {
-    TEST_CASE("a replica whose promotion takes long is not passed over while it may still lead")
+    TEST_CASE("no other replica is promoted while a slow promotion may still take effect")
     {
-        // Guards against a promoter that gives up on its choice and promotes another replica beside it.
+        // Guards against a coordinator that abandons its choice and promotes another replica beside it.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.minPromotionTime = 2800ms;
@@ -599,9 +599,9 @@
         CHECK(simulation.allFollowLeader());
     }
 
-    TEST_CASE("a successor does not promote another replica beside the one its predecessor promoted")
+    TEST_CASE("a new coordinator does not promote another replica beside its predecessor's choice")
     {
-        // Guards against the promotion of a holder that was cut off taking effect after its successor's.
+        // Guards against the promotion of a disconnected coordinator that takes effect after its successor's.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.member("primary").running = false;
@@ -612,7 +612,7 @@
         simulation.maxPromotionTime = 2800ms;
         simulation.vm(0).storeUnreachableUntil = simulation.now + 60s;
         REQUIRE(simulation.advanceUntil(1s, [&] { return simulation.logged("primary_chosen") == 1; }));
-        // It is leaving, so that a successor would rather promote the other one.
+        // The replica is draining, so a new coordinator would prefer the other one.
         markDraining(simulation, "replica-1");
         simulation.advance(1s);
         simulation.minPromotionTime = 2ms;
@@ -622,14 +622,15 @@
         CHECK(simulation.leader()->entry.name == UpstreamName { "replica-2" });
     }
 
-    TEST_CASE("a leader is not written down while the promotion of another upstream may take effect")
+    TEST_CASE("a leader is not recorded while the promotion of another upstream may take effect")
     {
-        // Guards against a record that names the upstream of an older promotion while a newer one follows.
+        // Guards against a record that names the upstream of an older promotion while a newer promotion is
+        // about to take effect.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.minPromotionTime = 2s;
         simulation.maxPromotionTime = 2s;
-        // It is not paused, so it is asked until it answers.
+        // The replica is not paused, so it is asked until it answers.
         simulation.vm(0).unreachableUpstreams = { UpstreamName { "replica-2" } };
         promoteFirstReplica(simulation);
         simulation.vm(0).unreachableUpstreams.clear();
@@ -640,9 +641,9 @@
         CHECK(simulation.allFollowLeader());
     }
 
-    TEST_CASE("another replica is promoted when the one that was chosen never leads")
+    TEST_CASE("another replica is promoted when the chosen one never leads")
     {
-        // Guards against a group that waits for a dead replica.
+        // Guards against a group that waits for a failed replica.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         simulation.member("primary").running = false;
@@ -655,9 +656,9 @@
         CHECK(simulation.violations.empty());
     }
 
-    TEST_CASE("a successor follows a holder whose choice has died")
+    TEST_CASE("a new coordinator promotes another replica when its predecessor's choice has failed")
     {
-        // Guards against a choice in the record that nobody gives up.
+        // Guards against a choice in the record that no VM gives up.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         promoteFirstReplica(simulation);
@@ -671,9 +672,9 @@
         CHECK(simulation.violations.empty());
     }
 
-    TEST_CASE("two promotions are never under way at once in cases that once failed")
+    TEST_CASE("two promotions are never in progress at once for seeds that failed before")
     {
-        // Guards against the ways in which a random play found two primaries.
+        // Guards against the sequences in which the property tests found two primaries.
         for (const std::uint64_t seed : { 5560963582634111U, 33577449114624U }) {
             CAPTURE(seed);
             LeadershipSimulation simulation { { .seed = seed } };
@@ -684,9 +685,9 @@
     }
 }
 
-TEST_SUITE("a leader that nobody waited for")
+TEST_SUITE("unexpected leader")
 {
-    TEST_CASE("it is written down only when views of the former primary have ended")
+    TEST_CASE("an unexpected leader is recorded only after views of the former primary have expired")
     {
         // Guards against VMs that acknowledge commits at one primary while others read at another.
         LeadershipSimulation simulation { {} };
@@ -699,9 +700,9 @@
         CHECK(simulation.vm(1).coordinator.view().primary == UpstreamName { "replica-1" });
     }
 
-    TEST_CASE("it is written down only when views of VMs that cannot reach it have ended")
+    TEST_CASE("an unexpected leader is recorded only after views of VMs that cannot reach it have expired")
     {
-        // Guards against the same where no upstream of the new term tells a VM that its view is over.
+        // Guards against the same where no upstream of the new term shows a VM that its view is out of date.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         keepOldViewOnLastVm(simulation);
@@ -712,9 +713,10 @@
         CHECK(simulation.vm(0).coordinator.view().primary == UpstreamName { "replica-1" });
     }
 
-    TEST_CASE("it is written down under a claim only when views of the former primary have ended")
+    TEST_CASE(
+        "an unexpected leader is recorded under a claim only after views of the former primary have expired")
     {
-        // Guards against a claim that is settled by a leader whom its holder did not promote.
+        // Guards against a claim that is completed with a leader which its coordinator did not promote.
         LeadershipSimulation simulation { {} };
         awaitLeader(simulation);
         keepOldViewOnLastVm(simulation);
@@ -726,9 +728,10 @@
         CHECK(simulation.vm(1).coordinator.view().primary == UpstreamName { "replica-1" });
     }
 
-    TEST_CASE("it is found when the former primary follows it")
+    TEST_CASE("an unexpected leader is detected when the former primary follows it")
     {
-        // Guards against a record that nobody corrects, as only replicas that nobody asks know who leads.
+        // Guards against a record that is never corrected because only replicas that are not asked know who
+        // leads.
         LeadershipSimulation simulation { {} };
         for (std::size_t index = 0; index < 3; ++index)
             simulation.vm(index).idle = true;
@@ -741,9 +744,9 @@
         CHECK(simulation.vm(1).coordinator.view().primary == UpstreamName { "replica-1" });
     }
 
-    TEST_CASE("it is written down though it is leaving")
+    TEST_CASE("an unexpected leader is recorded although it is draining")
     {
-        // Guards against a group that nobody leads because the only one that does is about to end.
+        // Guards against a group without a primary because the only upstream that leads is draining.
         LeadershipSimulation simulation { { .replicas = 1 } };
         awaitLeader(simulation);
         UpstreamDirectory directory { simulation.member("primary").entry,
@@ -757,9 +760,9 @@
             6s, [&] { return simulation.vm(1).coordinator.view().primary == UpstreamName { "replica-1" }; }));
     }
 
-    TEST_CASE("the primary in a newer term is written down without a claim")
+    TEST_CASE("the primary leading a newer term is recorded without a claim")
     {
-        // Guards against a group that waits for views to end though the primary is the same.
+        // Guards against a group that waits for views to expire although the primary is the same.
         LeadershipSimulation simulation { {} };
         for (std::size_t index = 0; index < 3; ++index)
             simulation.vm(index).idle = true;
@@ -772,12 +775,12 @@
     }
 }
 
-TEST_SUITE("who leads under faults")
+TEST_SUITE("leadership under faults")
 {
-    TEST_CASE("no VM may act on an old primary while a newer one leads, and tokens never fall")
+    TEST_CASE("no VM may act on an old primary while a newer one leads, and fencing tokens never decrease")
     {
-        // Primaries die and come back, VMs freeze and wake, the store goes away for all or for some, answers
-        // of writes get lost. A user would notice a mistake as an order that was confirmed and is gone.
+        // Primaries fail and return, VMs freeze and resume, the store is unreachable for all or for some, and
+        // answers to writes are lost. Guards against losing a commit that was acknowledged.
         checkProperty("leadership", [](std::uint64_t seed) {
             LeadershipSimulation simulation { { .seed = seed } };
             std::mt19937_64 random { seed };
@@ -804,7 +807,7 @@
                         auto& member = simulation.member(leader->entry.name.string());
                         member.running = false;
                         simulation.advance(time);
-                        // It comes back with its log, as a replica if another was promoted meanwhile.
+                        // It returns with its log, as a replica if another upstream was promoted meanwhile.
                         member.running = true;
                         const auto* newest = simulation.leader();
                         if (newest != nullptr && newest->term > member.term)
@@ -824,9 +827,9 @@
         });
     }
 
-    TEST_CASE("no VM may act on an old primary by the word of a sibling")
+    TEST_CASE("no VM may act on an old primary because of a sibling's view")
     {
-        // Guards against views that siblings hand round after the new primary leads.
+        // Guards against views that siblings pass on after the new primary leads.
         checkProperty("leadership with siblings", [](std::uint64_t seed) {
             LeadershipSimulation simulation { { .seed = seed, .siblingsShareViews = true } };
             simulation.vm(2).coordinator.setConfirmsForSiblings(false);
@@ -839,7 +842,7 @@
 
     TEST_CASE("no VM may act on an old primary while replicas lag, restart and answer late")
     {
-        // Guards against replicas that vouch for a former primary, and promotions that take effect late.
+        // Guards against replicas that confirm a former primary, and promotions that take effect late.
         checkProperty("leadership with lagging replicas", [](std::uint64_t seed) {
             LeadershipSimulation simulation { { .seed = seed } };
             runWithLaggingReplicas(simulation, seed);
@@ -849,9 +852,10 @@
         });
     }
 
-    TEST_CASE("no two VMs may act on different primaries, though upstreams lead that nobody waited for")
+    TEST_CASE("no two VMs may act on different primaries when unexpected leaders appear")
     {
-        // Guards against a record that passes from one primary to another while views of the former hold.
+        // Guards against a record that changes from one primary to another while views of the former one are
+        // valid.
         checkProperty("leaders that nobody waited for", [](std::uint64_t seed) {
             LeadershipSimulation simulation { { .seed = seed } };
             std::mt19937_64 random { seed };
--- a/tests/leadership/leadership_record_test.cpp
+++ b/tests/leadership/leadership_record_test.cpp
@@ -6,9 +6,9 @@
 
 using namespace cyclamendrift;
 
-TEST_SUITE("the record of who leads")
+TEST_SUITE("leadership record")
 {
-    TEST_CASE("what was encoded is decoded, with the upstream that was chosen")
+    TEST_CASE("an encoded record decodes to the same fields, including the chosen upstream")
     {
         const LeadershipRecord record { .term = Term { 3 },
             .primary = UpstreamName { "primary" },
@@ -19,9 +19,9 @@
         CHECK(LeadershipRecord::decode(record.encode()) == record);
     }
 
-    TEST_CASE("a record of a version that did not write its choice down names nobody")
+    TEST_CASE("a record of a version without the chosen field decodes with none chosen")
     {
-        // Guards against an upgrade that cannot read what the store holds.
+        // Guards against an upgrade that cannot read records which an older version stored.
         const std::string stored = "\x08\x03\x12\x07primary\x18\x04\x22\x04vm-0\x2a\x08vm-0/1/7";
         const auto record = LeadershipRecord::decode(stored);
         CHECK(record.term == Term { 3 });
@@ -31,7 +31,7 @@
         CHECK(record.chosen.empty());
     }
 
-    TEST_CASE("what is no record is refused")
+    TEST_CASE("an invalid value is rejected")
     {
         CHECK_THROWS_AS(static_cast<void>(LeadershipRecord::decode("\xff")), LeadershipError);
     }
--- a/tests/leadership/leadership_simulation.cpp
+++ b/tests/leadership/leadership_simulation.cpp
@@ -339,14 +339,15 @@
 
 void LeadershipSimulation::carryOutPromotion(SimulatedVm& vm, const PromoteUpstream& change)
 {
-    // A VM checks its lease once more as it sends; what was sent arrives later whatever happens to it.
+    // A VM checks its lease once more when it sends; a promotion that was sent arrives later whatever happens
+    // to the VM.
     if (this->now >= vm.vmLeaseExpiresAt)
         return;
     if (!this->record || this->record->record.chosen != change.upstream)
-        this->violations.push_back("a promotion was sent that the record does not name");
+        this->violations.push_back("a promotion was sent for an upstream that the record does not name");
     const auto carryOut = [this, change] {
         if (!this->tokens.empty() && change.token < this->tokens.back())
-            this->violations.push_back("a promotion came with a lower token than one before");
+            this->violations.push_back("a promotion had a lower fencing token than an earlier one");
         this->tokens.push_back(change.token);
         auto& named = this->members.at(change.upstream);
         if (named.primary || !named.running)
--- a/tests/leadership/leadership_simulation.h
+++ b/tests/leadership/leadership_simulation.h
@@ -12,7 +12,8 @@
 #include <string>
 #include <vector>
 
-/// Several VMs with a coordinator each, one group of upstreams, a store and a platform, in virtual time.
+/// Simulates several VMs with a LeaderCoordinator each, one group of upstreams, a store and a platform, in
+/// virtual time.
 namespace cyclamendrift {
 
 struct SimulatedUpstream {
@@ -22,24 +23,24 @@
     std::uint64_t term = 1;
     std::uint64_t received = 100;
     std::uint64_t pausedBelowTerm = 0;
-    /// What it has received from a new primary reaches it, and with it the new term, this much later.
+    /// The first log entries from a new primary, and with them the new term, arrive this much later.
     Duration lag {};
-    /// Since when it could have received from the primary that leads now.
+    /// Since when it has been able to receive from the current primary.
     Instant canReceiveSince = Instant::min();
 };
 
 struct SimulatedVm {
     VmName name;
     LeaderCoordinator coordinator;
-    /// It runs nothing before this instant.
+    /// The VM executes nothing before this instant.
     Instant frozenUntil = Instant::min();
-    /// The store neither takes its calls nor answers them before this instant.
+    /// The VM cannot reach the store before this instant.
     Instant storeUnreachableUntil = Instant::min();
     /// Upstreams that it cannot reach.
     std::set<UpstreamName> unreachableUpstreams;
     Instant nextRead = Instant::min();
     Instant vmLeaseExpiresAt = Instant::min();
-    /// No caller's statement goes to any upstream from here.
+    /// No caller's statements are sent from this VM.
     bool idle = false;
 };
 
@@ -49,45 +50,46 @@
         std::size_t vms = 3;
         std::size_t replicas = 2;
         std::uint64_t seed = 1;
-        /// A VM that the store turns away asks another VM for its view.
+        /// A VM that cannot reach the store asks another VM for its view.
         bool siblingsShareViews = false;
     };
 
     explicit LeadershipSimulation(Options options);
 
-    /// A replica starts again with its log; it knows of no pause.
+    /// A replica restarts with its log; its pause is forgotten.
     void restart(const std::string& name);
-    /// An upstream that runs leads the next term, as after a promotion that no VM waits for.
+    /// A running upstream starts to lead the next term, as after a promotion that no VM waits for.
     void becomePrimary(const std::string& name);
-    /// Lets time pass in steps of 10 ms.
+    /// Advances virtual time in steps of 10 ms.
     void advance(Duration duration);
-    /// Passes time until the condition holds; returns how long it took, or nothing when it never did.
+    /// Advances virtual time until the condition is true; returns how long that took, or nothing when it
+    /// stayed false for `maxTime`.
     std::optional<Duration> advanceUntil(Duration maxTime, const std::function<bool()>& condition);
 
     SimulatedUpstream& member(const std::string& name) { return this->members.at(UpstreamName { name }); }
     SimulatedVm& vm(std::size_t index) { return this->vms.at(index); }
     /// The running upstream that leads the highest term, or null.
     [[nodiscard]] const SimulatedUpstream* leader() const;
-    /// True when every VM that runs has a view that holds and names the leader.
+    /// True when every VM has a valid view that names the leader.
     [[nodiscard]] bool allFollowLeader() const;
     /// The primaries that VMs may act on now.
     [[nodiscard]] std::set<UpstreamName> primariesInUse() const;
-    /// How often VMs have noted the event.
+    /// How often VMs have logged the event.
     [[nodiscard]] std::size_t logged(const std::string& event) const;
     [[nodiscard]] std::size_t promotions() const { return this->tokens.size(); }
 
     Instant now { std::chrono::seconds { 1000 } };
     bool storeDown = false;
-    /// One in so many writes of the store is done and not answered; 0 for none.
+    /// One in this many writes to the store takes effect without an answer; 0 for none.
     std::size_t writesPerLostAnswer = 0;
-    /// Events that VMs noted, as "<vm> <event>".
+    /// Logged events, as "<vm> <event>".
     std::vector<std::string> loggedEvents;
-    /// Longest time that an upstream's answer, and the platform's carrying out of a promotion, take.
+    /// Limits of the time that an upstream's answer, and the platform's execution of a promotion, take.
     Duration maxAnswerTime = std::chrono::milliseconds { 30 };
     Duration maxPromotionTime = std::chrono::milliseconds { 30 };
     Duration minPromotionTime = std::chrono::milliseconds { 2 };
-    /// What went wrong: a view of an old primary that still held after a newer one led, a token that fell, or
-    /// a promotion that a successor would not know of.
+    /// Violations found: a view of an old primary that was still valid after a newer one led, a fencing token
+    /// that decreased, or a promotion of an upstream that the record does not name.
     std::vector<std::string> violations;
 
 private:
--- a/tests/leadership/pending_promotions_test.cpp
+++ b/tests/leadership/pending_promotions_test.cpp
@@ -5,15 +5,15 @@
 using namespace cyclamendrift;
 using namespace std::chrono_literals;
 
-TEST_SUITE("promotions that may still take effect")
+TEST_SUITE("pending promotions")
 {
     const UpstreamName first { "replica-1" };
     const UpstreamName second { "replica-2" };
     const Instant start { 1000s };
 
-    TEST_CASE("a promotion stands in the way of other upstreams until it has settled")
+    TEST_CASE("a promotion is pending for other upstreams until it has settled")
     {
-        // Guards against two promotions under way at once.
+        // Guards against two promotions in progress at once.
         PendingPromotions promotions { 4s };
         promotions.recordSent(first, start);
         CHECK_FALSE(promotions.isOtherPending(first, start));
@@ -21,9 +21,9 @@
         CHECK_FALSE(promotions.isOtherPending(second, start + 4s));
     }
 
-    TEST_CASE("the last of several promotions counts")
+    TEST_CASE("the last of several promotions determines when they have settled")
     {
-        // Guards against a promotion that was sent again and takes effect after the first has settled.
+        // Guards against a repeated promotion that takes effect after the first one has settled.
         PendingPromotions promotions { 4s };
         promotions.recordSent(first, start);
         promotions.recordSent(first, start + 2s);
@@ -31,9 +31,9 @@
         CHECK_FALSE(promotions.isOtherPending(second, start + 6s));
     }
 
-    TEST_CASE("an outcome settles the only promotion, and none of several")
+    TEST_CASE("an outcome settles a single promotion, and none of several")
     {
-        // Guards against a refusal that is taken to speak of an earlier promotion, which was accepted.
+        // Guards against applying a refusal to an earlier promotion, which was accepted.
         PendingPromotions promotions { 4s };
         promotions.recordSent(first, start);
         promotions.recordOutcome(first);
@@ -44,9 +44,10 @@
         CHECK(promotions.isOtherPending(second, start + 3s));
     }
 
-    TEST_CASE("what a former holder may have sent is not settled by an outcome")
+    TEST_CASE("an outcome does not settle promotions that a former coordinator may have sent")
     {
-        // Guards against a successor that promotes beside its predecessor once its own promotion was refused.
+        // Guards against a new coordinator that promotes another upstream beside its predecessor's choice
+        // once its own promotion was refused.
         PendingPromotions promotions { 4s };
         promotions.recordInherited(first, start);
         promotions.recordSent(first, start + 1s);
--- a/tests/leadership/replacement_steps_test.cpp
+++ b/tests/leadership/replacement_steps_test.cpp
@@ -25,7 +25,7 @@
     return entries;
 }
 
-/// A holder of the duty whose store, upstreams and platform are the test.
+/// A coordinator whose store, upstreams and platform are simulated by the test.
 class LeaseHolder {
 public:
     LeaseHolder()
@@ -34,7 +34,8 @@
         this->coordinator.onDirectory(directory(), this->now);
     }
 
-    /// The store holds this record at the next revision, and the duty is this VM's, or another's.
+    /// The coordinator reads this record at the next revision, with the coordinator lease held by this VM or
+    /// another one.
     void readRecord(LeadershipRecord record, const VmName& leaseHolder = self)
     {
         this->stored = std::move(record);
@@ -50,7 +51,8 @@
                 .askedAt = this->now },
             this->now);
     }
-    /// Lets 50 ms pass. Replicas are paused as asked and the store carries writes out, unless it is away.
+    /// Advances time by 50 ms. Replicas are paused as requested and the store executes writes, unless it is
+    /// unreachable.
     void tick()
     {
         this->now += 50ms;
@@ -63,7 +65,7 @@
         for (const auto end = this->now + time; this->now < end;)
             this->tick();
     }
-    /// An upstream answers a question that was sent now.
+    /// An upstream answers a status request that was sent now.
     void answerStatus(const UpstreamName& upstream, const UpstreamStatus& status)
     {
         this->coordinator.onStatus(upstream, status, this->now, this->now);
@@ -131,7 +133,7 @@
 
 TEST_SUITE("steps of a replacement")
 {
-    TEST_CASE("the choice is written before the promotion is sent, and while views end")
+    TEST_CASE("the choice is written before the promotion is sent, while views are expiring")
     {
         // Guards against a failover that waits for the store when it could promote.
         LeaseHolder holder;
@@ -143,7 +145,7 @@
         CHECK(holder.promoted == std::vector { first });
     }
 
-    TEST_CASE("nothing is promoted while a change of the choice may still take effect")
+    TEST_CASE("no replica is promoted while a change of the choice may still take effect")
     {
         // Guards against a late write that names another upstream than the one that is being promoted.
         LeaseHolder holder;
@@ -162,9 +164,9 @@
         CHECK(holder.promoted == std::vector { first });
     }
 
-    TEST_CASE("a successor goes on with the choice that it finds")
+    TEST_CASE("a new coordinator continues with the choice in the record")
     {
-        // Guards against a promotion beside the one that the former holder may have sent.
+        // Guards against a promotion beside the one that the former coordinator may have sent.
         LeaseHolder holder;
         holder.readRecord(claimRecord("theirs", second));
         holder.advance(2s);
@@ -173,9 +175,11 @@
             == static_cast<std::ptrdiff_t>(holder.promoted.size()));
     }
 
-    TEST_CASE("a successor promotes another than the choice that it finds only when that has settled")
+    TEST_CASE("a new coordinator promotes a replica other than the recorded choice only after that choice "
+              "has settled")
     {
-        // Guards against a successor that gives up on the former choice as soon as it does not answer.
+        // Guards against a new coordinator that drops its predecessor's choice as soon as that replica does
+        // not answer.
         LeaseHolder holder;
         holder.unresponsive = { second };
         holder.readRecord(claimRecord("theirs", second));
@@ -186,9 +190,9 @@
         CHECK(holder.promoted.front() == first);
     }
 
-    TEST_CASE("a refusal lets another replica be promoted at once, unless an earlier promotion was accepted")
+    TEST_CASE("after a refusal another replica is promoted at once, unless an earlier promotion was accepted")
     {
-        // Guards against a refusal that is taken to speak of all promotions of that upstream.
+        // Guards against applying a refusal to all promotions of that upstream.
         for (const bool repeated : { false, true }) {
             CAPTURE(repeated);
             LeaseHolder holder;
@@ -203,9 +207,9 @@
         }
     }
 
-    TEST_CASE("a leader whom nobody promoted counts from when it was first heard of")
+    TEST_CASE("an unexpected leader is recorded only after the view lifetime since it was first reported")
     {
-        // Guards against views that all replicas kept up, one of them until it became the leader.
+        // Guards against views that all replicas extended, one of them until it became the leader.
         LeaseHolder holder;
         holder.unresponsive = { first, second };
         holder.readRecord(claimRecord("theirs"));
@@ -218,9 +222,9 @@
         CHECK(holder.stored.primary == first);
     }
 
-    TEST_CASE("a claim that has stood while another VM held the duty counts")
+    TEST_CASE("the time that a claim has existed under another coordinator counts")
     {
-        // Guards against a successor that waits for views which it has seen end.
+        // Guards against a new coordinator that waits for views which it has already seen expire.
         LeaseHolder holder;
         holder.unresponsive = { first };
         holder.readRecord(claimRecord("theirs"), VmName { "vm-1" });
@@ -231,9 +235,9 @@
         CHECK(holder.stored.isSettled());
     }
 
-    TEST_CASE("a claim that another VM may have withdrawn in between counts anew")
+    TEST_CASE("the wait starts again for a claim that another VM may have withdrawn in between")
     {
-        // Guards against views that were taken between two claims of the same term.
+        // Guards against views that were read between two claims of the same term.
         LeaseHolder holder;
         holder.unresponsive = { first };
         holder.readRecord(claimRecord("theirs"), VmName { "vm-1" });
@@ -246,9 +250,9 @@
         CHECK(holder.stored.isSettled());
     }
 
-    TEST_CASE("the primary in the claimed term is written down without a wait")
+    TEST_CASE("the old primary leading the claimed term is recorded without a wait")
     {
-        // Guards against a group that waits for views to end though they name the primary that leads.
+        // Guards against a group that waits for views to expire although they name the primary that leads.
         LeaseHolder holder;
         holder.readRecord(claimRecord("theirs"));
         holder.answerStatus(oldPrimary, leadsTerm2);
@@ -257,9 +261,9 @@
         CHECK(holder.stored.primary == oldPrimary);
     }
 
-    TEST_CASE("the choice of the holder before is written down without a wait when it leads")
+    TEST_CASE("the previous coordinator's choice is recorded without a wait when it leads")
     {
-        // Guards against a slow failover after the holder died as it promoted.
+        // Guards against a slow failover after the coordinator failed while it promoted.
         LeaseHolder holder;
         holder.readRecord(claimRecord("theirs", second));
         holder.answerStatus(second, leadsTerm2);
@@ -268,9 +272,9 @@
         CHECK(holder.stored.primary == second);
     }
 
-    TEST_CASE("an answer to a write that is older than what was read is passed over")
+    TEST_CASE("the answer to a write is ignored when a later record was read")
     {
-        // Guards against a holder that goes by a choice which has been changed since.
+        // Guards against a coordinator that acts on a choice which has been changed since.
         LeaseHolder holder;
         holder.readRecord(settledRecord());
         const auto later = claimRecord("theirs", second);
