--- a/include/cyclamendrift/leadership/leader_coordinator.h
+++ b/include/cyclamendrift/leadership/leader_coordinator.h
@@ -111,7 +111,7 @@
     void onVmLeaseExpired(Instant now);
 
     /// Whether this VM asks replicas on behalf of its siblings too.
-    void setConfirmsForSiblings(bool vouches) noexcept { this->confirmsForSiblings = vouches; }
+    void setConfirmsForSiblings(bool confirms) noexcept { this->confirmsForSiblings = confirms; }
 
     /// The store was read. A snapshot older than the latest one is ignored.
     void onSnapshot(const LeadershipSnapshot& snapshot, Instant now);
@@ -283,7 +283,7 @@
     /// is none.
     [[nodiscard]] bool replaceByNewerLeader(Instant now);
     /// When every view of the old primary has expired, given that this upstream leads for whatever reason.
-    [[nodiscard]] Instant oldViewsExpireAtUnder(const Leader& leader) const;
+    [[nodiscard]] Instant oldViewsExpireAtForLeader(const Leader& leader) const;
     /// Updates since when the record has contained the claim; to be called before `next` replaces the latest
     /// snapshot's record.
     void updateClaimStart(const std::optional<LeadershipRecord>& next, Instant now);
@@ -339,7 +339,7 @@
     std::optional<Instant> leaseFreeSince;
     /// Reads of the store from before this instant do not tell who holds the coordinator lease.
     Instant leaseKnownFrom = Instant::min();
-    Instant noAcquireBefore = Instant::min();
+    Instant mayAcquireFrom = Instant::min();
     Instant lastAcquireAt = Instant::min();
     Instant lastWriteAt = Instant::min();
     std::uint64_t changeCount = 0;
--- a/src/leadership/leader_coordinator.cpp
+++ b/src/leadership/leader_coordinator.cpp
@@ -233,7 +233,7 @@
 
 bool LeaderCoordinator::isTurnToAcquireLease(Instant now) const
 {
-    if (this->latestSnapshot.coordinatorLease || !this->leaseFreeSince || now < this->noAcquireBefore)
+    if (this->latestSnapshot.coordinatorLease || !this->leaseFreeSince || now < this->mayAcquireFrom)
         return false;
     return now >= *this->leaseFreeSince + this->options.settings.rankDelay * static_cast<int>(this->rank);
 }
@@ -324,7 +324,7 @@
         // it.
         this->logEvent("duty_yielded",
             { { "primary", record.primary.string() }, { "reason", "replicas still receive its log" } });
-        this->noAcquireBefore = now + this->options.settings.leaseReacquireDelay;
+        this->mayAcquireFrom = now + this->options.settings.leaseReacquireDelay;
         this->logBaseline.reset();
         this->actions.emplace_back(ReleaseCoordinatorLease { this->coordinatorLease().revision });
         this->latestSnapshot.coordinatorLease.reset();
--- a/src/leadership/promotion.cpp
+++ b/src/leadership/promotion.cpp
@@ -128,7 +128,7 @@
 void LeaderCoordinator::completeReplacement(const Leader& leader, Instant now)
 {
     if (this->pendingPromotions.isOtherPending(leader.name, now)
-        || now < this->oldViewsExpireAtUnder(leader)) {
+        || now < this->oldViewsExpireAtForLeader(leader)) {
         this->askAllMembers(now);
         return;
     }
@@ -160,7 +160,7 @@
     return true;
 }
 
-Instant LeaderCoordinator::oldViewsExpireAtUnder(const Leader& leader) const
+Instant LeaderCoordinator::oldViewsExpireAtForLeader(const Leader& leader) const
 {
     const auto& settings = this->options.settings;
     const auto& replacement = *this->replacement;
--- a/tests/leadership/leadership_simulation.cpp
+++ b/tests/leadership/leadership_simulation.cpp
@@ -202,12 +202,12 @@
             this->askSibling(vm);
         return;
     }
-    const bool lapsed
+    const bool expired
         = vm.vmLeaseExpiresAt != Instant::min() && this->now >= vm.vmLeaseExpiresAt + leaseMargin;
-    if (lapsed)
+    if (expired)
         vm.coordinator.onVmLeaseExpired(this->now);
     vm.vmLeaseExpiresAt = this->now + leaseDuration - leaseMargin;
-    if (this->coordinatorLease && this->coordinatorLease->holder == vm.name && !lapsed)
+    if (this->coordinatorLease && this->coordinatorLease->holder == vm.name && !expired)
         this->coordinatorLease->expiresAt = this->now + leaseDuration;
     LeadershipSnapshot snapshot;
     snapshot.askedAt = this->now;
@@ -345,7 +345,7 @@
         return;
     if (!this->record || this->record->record.chosen != change.upstream)
         this->violations.push_back("a promotion was sent for an upstream that the record does not name");
-    const auto carryOut = [this, change] {
+    const auto accept = [this, change] {
         if (!this->tokens.empty() && change.token < this->tokens.back())
             this->violations.push_back("a promotion had a lower fencing token than an earlier one");
         this->tokens.push_back(change.token);
@@ -355,7 +355,7 @@
         this->events.push_back({ .at = this->now + promotionDuration,
             .run = [this, upstream = change.upstream] { this->becomePrimary(upstream.string()); } });
     };
-    this->schedule(carryOut, this->maxPromotionTime, this->minPromotionTime);
+    this->schedule(accept, this->maxPromotionTime, this->minPromotionTime);
 }
 
 void LeadershipSimulation::checkInvariants()
