--- a/tests/leadership/leader_coordinator_test.cpp
+++ b/tests/leadership/leader_coordinator_test.cpp
@@ -157,8 +157,7 @@
         CHECK(simulation.violations.empty());
     }
 
-    TEST_CASE("a coordinator that alone cannot reach the primary releases its lease and does not replace the "
-              "primary")
+    TEST_CASE("a coordinator that alone cannot reach the primary releases its lease instead of replacing it")
     {
         // Guards against a promotion that interrupts everybody because a single VM cannot reach the primary.
         LeadershipSimulation simulation { {} };
--- a/tests/leadership/replacement_steps_test.cpp
+++ b/tests/leadership/replacement_steps_test.cpp
@@ -175,8 +175,8 @@
             == static_cast<std::ptrdiff_t>(holder.promoted.size()));
     }
 
-    TEST_CASE("a new coordinator promotes a replica other than the recorded choice only after that choice "
-              "has settled")
+    TEST_CASE(
+        "a new coordinator promotes another replica than the recorded choice only after that has settled")
     {
         // Guards against a new coordinator that drops its predecessor's choice as soon as that replica does
         // not answer.
