--- a/bench/bench_consistency.cpp
+++ b/bench/bench_consistency.cpp
@@ -51,14 +51,14 @@
 
 struct Fault {
     std::string_view name;
-    std::function<void(GroupWorld&)> begin;
+    std::function<void(GroupSimulation&)> begin;
     /// Length of the store's outage, which no failover can outrun.
     Duration storeOutage {};
 };
 
-GroupWorld worldOf(const Site& site, int seed, Duration lag = 2ms)
+GroupSimulation makeSimulation(const Site& site, int seed, Duration lag = 2ms)
 {
-    return GroupWorld { { .slots = site.slots,
+    return GroupSimulation { { .slots = site.slots,
         .seed = static_cast<std::uint64_t>(seed),
         .replicaLag = lag,
         .writeInterval = 20ms,
@@ -66,18 +66,18 @@
 }
 
 /// Runs on until a write that was sent after an instant is acknowledged, and returns when that was.
-Instant firstAcknowledgedAfter(GroupWorld& world, Instant instant)
+Instant firstAcknowledgedAfter(GroupSimulation& simulation, Instant instant)
 {
-    const auto known = world.acknowledged().size();
+    const auto known = simulation.acknowledged().size();
     for (int step = 0; step < 30000; ++step) {
-        world.runFor(1ms);
-        for (auto index = known; index < world.acknowledged().size(); ++index) {
-            const auto& acknowledged = world.acknowledged()[index];
+        simulation.runFor(1ms);
+        for (auto index = known; index < simulation.acknowledged().size(); ++index) {
+            const auto& acknowledged = simulation.acknowledged()[index];
             if (acknowledged.sentAt >= instant)
                 return acknowledged.at;
         }
     }
-    return world.now();
+    return simulation.now();
 }
 
 void measureFailover(const Site& site, const Fault& fault)
@@ -87,20 +87,20 @@
     Series promotion;
     Series release;
     Series gap;
-    std::size_t breaches = 0;
+    std::size_t violations = 0;
     bool promoted = true;
     for (int seed = 1; seed <= seeds; ++seed) {
-        auto world = worldOf(site, seed);
-        world.runFor(5s + std::chrono::milliseconds { seed * 7 % 200 });
-        const auto begunAt = world.now();
-        fault.begin(world);
+        auto simulation = makeSimulation(site, seed);
+        simulation.runFor(5s + std::chrono::milliseconds { seed * 7 % 200 });
+        const auto begunAt = simulation.now();
+        fault.begin(simulation);
         if (fault.storeOutage > Duration::zero()) {
-            world.runFor(fault.storeOutage);
-            world.storeUp = true;
+            simulation.runFor(fault.storeOutage);
+            simulation.storeUp = true;
         }
         const auto from = begunAt + fault.storeOutage;
-        const auto end = firstAcknowledgedAfter(world, begunAt);
-        const auto& times = world.timeline();
+        const auto end = firstAcknowledgedAfter(simulation, begunAt);
+        const auto& times = simulation.timeline();
         const auto claimed = times.claimed.value_or(end);
         const auto chosen = times.chosen.value_or(end);
         // A commit from before the failover may be confirmed before the view that lets new ones through.
@@ -110,8 +110,8 @@
         promotion.add(milliseconds(serving - chosen));
         release.add(milliseconds(end - serving));
         gap.add(milliseconds(end - from));
-        breaches += world.breaches().size();
-        promoted = promoted && world.promotions() > 1;
+        violations += simulation.violations().size();
+        promoted = promoted && simulation.promotions() > 1;
     }
     const auto row = std::string { site.name } + ',' + std::string { fault.name } + ",ours,";
     // Of two slots, a home that reaches the primary drops the replica instead of replacing the primary.
@@ -122,44 +122,44 @@
         release.print(row, "failover_release");
     }
     gap.print(row, "failover_gap");
-    std::cout << row << "consistency_breaches," << breaches << ",count\n";
+    std::cout << row << "consistency_breaches," << violations << ",count\n";
 }
 
-void cutPrimaryOff(GroupWorld& world)
+void cutPrimaryOff(GroupSimulation& simulation)
 {
     for (std::size_t proxy = 0; proxy < 3; ++proxy)
-        world.cut(GroupWorld::proxy(proxy), GroupWorld::slot(0));
-    world.isolate(0);
+        simulation.cut(GroupSimulation::proxy(proxy), GroupSimulation::slot(0));
+    simulation.isolate(0);
 }
 
 /// One home and its callers still reach it; the group and the others do not.
-void cutPrimaryOffWithHalf(GroupWorld& world)
+void cutPrimaryOffWithHalf(GroupSimulation& simulation)
 {
-    world.isolate(0);
-    world.cut(GroupWorld::proxy(0), GroupWorld::slot(0));
-    world.cut(GroupWorld::proxy(2), GroupWorld::slot(0));
+    simulation.isolate(0);
+    simulation.cut(GroupSimulation::proxy(0), GroupSimulation::slot(0));
+    simulation.cut(GroupSimulation::proxy(2), GroupSimulation::slot(0));
 }
 
-void killPromoterHalfWay(GroupWorld& world)
+void killPromoterHalfWay(GroupSimulation& simulation)
 {
-    world.kill(0);
-    while (world.record().value_or(GroupRecord {}).isSettled())
-        world.runFor(1ms);
-    world.killProxy(0);
+    simulation.kill(0);
+    while (simulation.record().value_or(GroupRecord {}).isSettled())
+        simulation.runFor(1ms);
+    simulation.killProxy(0);
 }
 
 void measureFailovers(const Site& site)
 {
     const std::vector<Fault> faults {
-        { .name = "primary_killed", .begin = [](GroupWorld& world) { world.kill(0); } },
+        { .name = "primary_killed", .begin = [](GroupSimulation& simulation) { simulation.kill(0); } },
         { .name = "primary_cut_off", .begin = cutPrimaryOff },
         { .name = "primary_half_cut_off", .begin = cutPrimaryOffWithHalf },
         { .name = "promoter_killed", .begin = killPromoterHalfWay },
         { .name = "store_down_3s",
             .begin =
-                [](GroupWorld& world) {
-                    world.kill(0);
-                    world.storeUp = false;
+                [](GroupSimulation& simulation) {
+                    simulation.kill(0);
+                    simulation.storeUp = false;
                 },
             .storeOutage = 3s },
     };
@@ -178,26 +178,26 @@
     Series took;
     double replica = 0;
     double all = 0;
-    std::size_t breaches = 0;
+    std::size_t violations = 0;
     for (int seed = 1; seed <= readSeeds; ++seed) {
-        GroupWorld world { { .slots = site.slots,
+        GroupSimulation simulation { { .slots = site.slots,
             .seed = static_cast<std::uint64_t>(seed),
             .replicaLag = lag,
             .writeInterval = 20ms,
             .readInterval = 5ms,
             .patience = policy.patience,
             .readsFromPrimaryOnly = policy.primaryOnly } };
-        world.runFor(10s);
-        replica += static_cast<double>(world.reads().replica);
-        all += static_cast<double>(world.reads().replica + world.reads().primary);
-        for (const auto each : world.reads().took)
+        simulation.runFor(10s);
+        replica += static_cast<double>(simulation.reads().replica);
+        all += static_cast<double>(simulation.reads().replica + simulation.reads().primary);
+        for (const auto each : simulation.reads().took)
             took.add(milliseconds(each));
-        breaches += world.breaches().size();
+        violations += simulation.violations().size();
     }
     const auto row = std::string { site.name } + ',' + std::string { fault } + ',' + policy.name + ',';
     std::cout << row << "replica_read_share," << replica / all << ",ratio\n";
     took.print(row, "read_latency");
-    std::cout << row << "consistency_breaches," << breaches << ",count\n";
+    std::cout << row << "consistency_breaches," << violations << ",count\n";
 }
 
 void measureAllReads(const Site& site)
@@ -216,9 +216,9 @@
 {
     Series took;
     for (int seed = 1; seed <= readSeeds; ++seed) {
-        auto world = worldOf(site, seed, lag);
-        world.runFor(10s);
-        for (const auto& each : world.acknowledged())
+        auto simulation = makeSimulation(site, seed, lag);
+        simulation.runFor(10s);
+        for (const auto& each : simulation.acknowledged())
             took.add(milliseconds(each.at - each.sentAt));
     }
     const auto row = std::string { site.name } + ",replica_lag_"
--- a/include/cyclamendrift/failover/failover_coordinator.h
+++ b/include/cyclamendrift/failover/failover_coordinator.h
@@ -46,7 +46,7 @@
     [[nodiscard]] FailoverActions tick(Instant now);
 
     /// The view as it was last published.
-    [[nodiscard]] const GroupView& view() const noexcept { return this->published; }
+    [[nodiscard]] const GroupView& view() const noexcept { return this->publishedView; }
 
 private:
     /// Why a term was claimed.
@@ -72,87 +72,87 @@
 
     // What is known of the record.
     void on(const RecordRead& event);
-    void on(const RecordUnavailable& event);
+    void on(const RecordReadFailed& event);
     void on(const RecordSwapped& event);
     void on(const RecordConflict& event);
     void on(const RecordSwapUnanswered& event);
-    void adopt(const RevisedRecord& revised);
-    void adoptOwn(GroupRecord record, std::uint64_t revision);
+    void adoptRecord(const VersionedRecord& stored);
+    void adoptOwnRecord(GroupRecord record, std::uint64_t revision);
     void resolveSwap(const RecordRead& event);
     void readRecordIfDue();
-    [[nodiscard]] Duration recordInterval() const noexcept;
+    [[nodiscard]] Duration recordReadInterval() const noexcept;
     void swap(GroupRecord record);
-    [[nodiscard]] std::string newChangeId();
+    [[nodiscard]] std::string makeChangeId();
 
     // What is known of the slots.
     void on(const SlotAnswered& event);
-    void on(const SlotSilent& event);
+    void on(const SlotUnreachable& event);
     void on(const SlotRefused& event);
     void on(const SiblingsAnswered& event);
-    void on(const LeavingChanged& event);
-    void probe();
-    void askSiblingsAbout(SlotWatch& slot);
-    [[nodiscard]] bool isGone(const SlotWatch& slot) const;
+    void on(const LeavingSlotsChanged& event);
+    void probeDueSlots();
+    void askSiblingsAbout(SlotMonitor& slot);
+    [[nodiscard]] bool isDown(const SlotMonitor& slot) const;
 
     // Promotion.
-    void considerPromotion();
-    void considerTakeover();
-    void claim(Purpose purpose, std::vector<SlotName> avoided, std::vector<SlotName> joining);
-    [[nodiscard]] bool enoughReachable(const std::vector<SlotName>& avoided) const;
-    [[nodiscard]] bool mustReplace(const SlotWatch& primary) const;
-    [[nodiscard]] bool hasResigned(const SlotWatch& primary) const;
-    [[nodiscard]] bool isStalled(const SlotWatch& primary) const;
-    [[nodiscard]] bool canReplaceLeaving(const SlotWatch& primary) const;
-    void fenceRemaining();
-    void noteFence(const StatusSample& sample);
-    void chooseIfSure();
+    void replacePrimaryIfNeeded();
+    void takeOverPromotionIfStalled();
+    void claimTerm(Purpose purpose, std::vector<SlotName> avoided, std::vector<SlotName> joining);
+    [[nodiscard]] bool enoughSlotsReachable(const std::vector<SlotName>& avoided) const;
+    [[nodiscard]] bool mustReplace(const SlotMonitor& primary) const;
+    [[nodiscard]] bool hasSteppedDown(const SlotMonitor& primary) const;
+    [[nodiscard]] bool isStalled(const SlotMonitor& primary) const;
+    [[nodiscard]] bool canReplaceLeaving(const SlotMonitor& primary) const;
+    void fenceRemainingSlots();
+    void recordFence(const StatusSample& sample);
+    void selectPrimaryIfSafe();
     [[nodiscard]] bool othersMayStillAnswer();
-    void writeChoice(const SlotName& chosen);
+    void writeSelection(const SlotName& selected);
 
     // What keeps a settled group whole.
-    void carryOutRecord();
-    void promoteChosen(SlotWatch& primary);
-    void bringBehind(const SlotWatch& primary);
-    void noteKeepingUp(SlotWatch& slot);
-    void expectOfReplicas(const StatusSample& sample);
-    [[nodiscard]] bool hasFallenOut(const SlotWatch& replica) const;
-    void considerShrink();
-    void considerRejoin();
+    void applyRecord();
+    void promoteRecordedPrimary(SlotMonitor& primary);
+    void redirectReplicas(const SlotMonitor& primary);
+    void updateCaughtUpSince(SlotMonitor& slot);
+    void setReplicaTargets(const StatusSample& sample);
+    [[nodiscard]] bool hasFallenBehind(const SlotMonitor& replica) const;
+    void shrinkInSyncSetIfNeeded();
+    void rejoinCaughtUpReplicas();
     [[nodiscard]] bool isServing() const;
     void publish();
 
-    void act();
+    void advance();
     [[nodiscard]] const GroupRecord& record() const;
     [[nodiscard]] Attempt& ownAttempt();
     void bootstrap();
-    [[nodiscard]] SlotWatch* find(const SlotName& name);
-    [[nodiscard]] const SlotWatch* find(const SlotName& name) const;
-    [[nodiscard]] bool isActing(const SlotWatch& slot) const;
-    [[nodiscard]] bool answersNow(const SlotWatch& slot) const noexcept;
+    [[nodiscard]] SlotMonitor* find(const SlotName& name);
+    [[nodiscard]] const SlotMonitor* find(const SlotName& name) const;
+    [[nodiscard]] bool isActingPrimary(const SlotMonitor& slot) const;
+    [[nodiscard]] bool isResponsive(const SlotMonitor& slot) const noexcept;
     [[nodiscard]] bool isLeaving(const SlotName& name) const;
     [[nodiscard]] bool usesMajority() const noexcept;
     [[nodiscard]] Duration rankDelay() const noexcept;
     [[nodiscard]] Term highestTermSeen() const;
-    [[nodiscard]] FailoverActions finish();
+    [[nodiscard]] FailoverActions decideActions();
 
     Options options;
     RandomSource random;
     Instant now;
-    std::vector<SlotWatch> slots;
+    std::vector<SlotMonitor> slots;
     std::vector<SlotName> leaving;
-    std::optional<RevisedRecord> current;
+    std::optional<VersionedRecord> current;
     /// True once the store said that there is no record.
-    bool absent = false;
+    bool recordAbsent = false;
     /// True while a slot shows a term that the record as known does not explain.
-    bool doubted = false;
+    bool recordMayBeOutdated = false;
     bool readingRecord = false;
-    std::optional<Instant> lastRead;
+    std::optional<Instant> lastReadAt;
     Instant adoptedAt;
     std::optional<PendingSwap> pendingSwap;
     std::optional<Attempt> attempt;
-    Duration rejoinAfter {};
-    std::optional<Instant> lastRejoin;
-    GroupView published;
+    Duration rejoinDelay {};
+    std::optional<Instant> lastRejoinAt;
+    GroupView publishedView;
     FailoverActions actions;
 };
 
--- a/include/cyclamendrift/failover/failover_events.h
+++ b/include/cyclamendrift/failover/failover_events.h
@@ -19,7 +19,7 @@
     StatusSample sample;
 };
 /// A slot could not be asked or did not answer in time.
-struct SlotSilent {
+struct SlotUnreachable {
     SlotName slot;
 };
 /// A slot answered with an error, so it lives but did not do what it was told.
@@ -44,10 +44,10 @@
 };
 /// The record was read; empty when there is none.
 struct RecordRead {
-    std::optional<RevisedRecord> current;
+    std::optional<VersionedRecord> current;
 };
 /// The record could not be read.
-struct RecordUnavailable { };
+struct RecordReadFailed { };
 /// A swap took place.
 struct RecordSwapped {
     std::string changeId;
@@ -56,18 +56,18 @@
 /// A swap did not take place, because the record stood elsewhere.
 struct RecordConflict {
     std::string changeId;
-    std::optional<RevisedRecord> current;
+    std::optional<VersionedRecord> current;
 };
 /// No answer to a swap came: it may have taken place, or may still.
 struct RecordSwapUnanswered {
     std::string changeId;
 };
 /// The slots that are on leaving VMs now.
-struct LeavingChanged {
+struct LeavingSlotsChanged {
     std::vector<SlotName> leaving;
 };
 /// Everything that a coordinator is told, in any order, late or twice.
-using FailoverEvent = std::variant<SlotAnswered, SlotSilent, SlotRefused, SiblingsAnswered, RecordRead,
-    RecordUnavailable, RecordSwapped, RecordConflict, RecordSwapUnanswered, LeavingChanged>;
+using FailoverEvent = std::variant<SlotAnswered, SlotUnreachable, SlotRefused, SiblingsAnswered, RecordRead,
+    RecordReadFailed, RecordSwapped, RecordConflict, RecordSwapUnanswered, LeavingSlotsChanged>;
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/failover/failover_settings.h
+++ b/include/cyclamendrift/failover/failover_settings.h
@@ -20,7 +20,7 @@
     /// Between two tries of a fence, promotion, follow or store call that has not worked yet.
     Duration retryInterval = std::chrono::milliseconds { 200 };
     /// How long a promoter waits for slots that were alive just now, once enough are fenced.
-    Duration fenceGrace = std::chrono::milliseconds { 100 };
+    Duration fenceGracePeriod = std::chrono::milliseconds { 100 };
     /// A promotion of another VM that makes no progress for this long is taken over.
     Duration takeoverAfter = std::chrono::milliseconds { 1200 };
     /// In groups of two, a replica that stays behind the primary for this long leaves the in-sync set. It
@@ -30,10 +30,10 @@
     Duration stallAfter = std::chrono::seconds { 2 };
     /// A replica has to keep up for this long before it joins the in-sync set again; doubles each time that
     /// it falls out soon after.
-    Duration rejoinAfter = std::chrono::seconds { 2 };
-    Duration rejoinAfterAtMost = std::chrono::seconds { 60 };
+    Duration rejoinDelay = std::chrono::seconds { 2 };
+    Duration maxRejoinDelay = std::chrono::seconds { 60 };
     /// Between two reads of the record while nothing is wrong.
-    Duration recordInterval = std::chrono::seconds { 10 };
+    Duration recordReadInterval = std::chrono::seconds { 10 };
     /// Added for each rank below the first before a home proxy acts, so that two seldom act at once.
     Duration rankDelay = std::chrono::milliseconds { 300 };
 };
--- a/include/cyclamendrift/failover/group_record.h
+++ b/include/cyclamendrift/failover/group_record.h
@@ -41,7 +41,7 @@
 };
 
 /// A record with the revision of the store at which it stood.
-struct RevisedRecord {
+struct VersionedRecord {
     GroupRecord record;
     std::uint64_t revision = 0;
 };
--- a/include/cyclamendrift/failover/primary_choice.h
+++ b/include/cyclamendrift/failover/primary_choice.h
@@ -11,7 +11,7 @@
 namespace cyclamendrift {
 
 /// What a promoter knows when it chooses.
-struct PrimaryChoice {
+struct PrimarySelectionInput {
     /// The record as it stood when the term was claimed.
     GroupRecord record;
     std::vector<SlotName> slots;
@@ -23,8 +23,8 @@
 
 /// The slot to promote, which holds every acknowledged commit; empty while too few are fenced to be sure.
 ///
-///     if (const auto slot = choosePrimary(choice))
+///     if (const auto slot = selectPrimary(choice))
 ///         promote(*slot);
-[[nodiscard]] std::optional<SlotName> choosePrimary(const PrimaryChoice& choice);
+[[nodiscard]] std::optional<SlotName> selectPrimary(const PrimarySelectionInput& input);
 
 } // namespace cyclamendrift
--- a/src/failover/failover_coordinator.cpp
+++ b/src/failover/failover_coordinator.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// A read of the record whose answer never came back to the coordinator is given up after this long.
-constexpr Duration readLostAfter = std::chrono::seconds { 3 };
+constexpr Duration recordReadTimeout = std::chrono::seconds { 3 };
 
 } // namespace
 
@@ -18,36 +18,36 @@
     : options(std::move(options))
     , random(this->options.seed)
     , now(this->options.startedAt)
-    , rejoinAfter(this->options.settings.rejoinAfter)
+    , rejoinDelay(this->options.settings.rejoinDelay)
 {
     for (const auto& name : this->options.slots)
         this->slots.emplace_back(name, this->now);
-    this->published.slots = this->options.slots;
+    this->publishedView.slots = this->options.slots;
 }
 
 FailoverActions FailoverCoordinator::handle(const FailoverEvent& event, Instant now)
 {
     this->now = std::max(this->now, now);
     std::visit([this](const auto& each) { this->on(each); }, event);
-    return this->finish();
+    return this->decideActions();
 }
 
 FailoverActions FailoverCoordinator::tick(Instant now)
 {
     this->now = std::max(this->now, now);
-    this->probe();
-    return this->finish();
+    this->probeDueSlots();
+    return this->decideActions();
 }
 
-FailoverActions FailoverCoordinator::finish()
+FailoverActions FailoverCoordinator::decideActions()
 {
     this->readRecordIfDue();
-    this->act();
+    this->advance();
     this->publish();
     return std::exchange(this->actions, {});
 }
 
-void FailoverCoordinator::act()
+void FailoverCoordinator::advance()
 {
     if (this->pendingSwap)
         return;
@@ -56,18 +56,18 @@
         return;
     }
     if (this->attempt && this->attempt->claimed) {
-        this->fenceRemaining();
-        this->chooseIfSure();
+        this->fenceRemainingSlots();
+        this->selectPrimaryIfSafe();
         return;
     }
     if (!this->current->record.isSettled()) {
-        this->considerTakeover();
+        this->takeOverPromotionIfStalled();
         return;
     }
-    this->carryOutRecord();
-    this->considerPromotion();
-    this->considerShrink();
-    this->considerRejoin();
+    this->applyRecord();
+    this->replacePrimaryIfNeeded();
+    this->shrinkInSyncSetIfNeeded();
+    this->rejoinCaughtUpReplicas();
 }
 
 // The record
@@ -75,12 +75,12 @@
 void FailoverCoordinator::on(const RecordRead& event)
 {
     this->readingRecord = false;
-    this->doubted = false;
+    this->recordMayBeOutdated = false;
     this->resolveSwap(event);
     if (event.current)
-        this->adopt(*event.current);
+        this->adoptRecord(*event.current);
     else if (!this->current)
-        this->absent = true;
+        this->recordAbsent = true;
 }
 
 /// An answer of the store can be lost after the change took effect; the change id in the record tells. When
@@ -93,7 +93,7 @@
     const auto& swap = this->pendingSwap->swap;
     const auto revision = event.current ? event.current->revision : 0;
     if (event.current && event.current->record.changeId == swap.record.changeId) {
-        this->adoptOwn(swap.record, revision);
+        this->adoptOwnRecord(swap.record, revision);
         return;
     }
     if (!this->pendingSwap->unanswered)
@@ -107,12 +107,12 @@
     this->attempt.reset();
 }
 
-void FailoverCoordinator::on(const RecordUnavailable&) { this->readingRecord = false; }
+void FailoverCoordinator::on(const RecordReadFailed&) { this->readingRecord = false; }
 
 void FailoverCoordinator::on(const RecordSwapped& event)
 {
     if (this->pendingSwap && this->pendingSwap->swap.record.changeId == event.changeId)
-        this->adoptOwn(this->pendingSwap->swap.record, event.revision);
+        this->adoptOwnRecord(this->pendingSwap->swap.record, event.revision);
 }
 
 void FailoverCoordinator::on(const RecordConflict& event)
@@ -120,17 +120,17 @@
     if (!this->pendingSwap || this->pendingSwap->swap.record.changeId != event.changeId)
         return;
     if (event.current && event.current->record.changeId == event.changeId) {
-        this->adoptOwn(event.current->record, event.current->revision);
+        this->adoptOwnRecord(event.current->record, event.current->revision);
         return;
     }
     this->pendingSwap.reset();
     this->attempt.reset();
     if (event.current) {
-        this->adopt(*event.current);
+        this->adoptRecord(*event.current);
         return;
     }
     this->current.reset();
-    this->absent = true;
+    this->recordAbsent = true;
 }
 
 void FailoverCoordinator::on(const RecordSwapUnanswered& event)
@@ -139,69 +139,69 @@
         this->pendingSwap->unanswered = true;
 }
 
-void FailoverCoordinator::adopt(const RevisedRecord& revised)
+void FailoverCoordinator::adoptRecord(const VersionedRecord& stored)
 {
     // Reads overtake one another; an older one would bring back a term that is over.
-    if (this->current && revised.revision <= this->current->revision)
+    if (this->current && stored.revision <= this->current->revision)
         return;
-    const bool newTerm = !this->current || this->current->record.servingTerm != revised.record.servingTerm;
-    this->current = revised;
-    this->absent = false;
+    const bool newTerm = !this->current || this->current->record.servingTerm != stored.record.servingTerm;
+    this->current = stored;
+    this->recordAbsent = false;
     this->adoptedAt = this->now;
     const bool attemptOver = this->attempt
-        && (revised.record.term != this->attempt->term || revised.record.isSettled()
-            || revised.record.promoter != this->options.vm);
+        && (stored.record.term != this->attempt->term || stored.record.isSettled()
+            || stored.record.promoter != this->options.vm);
     if (attemptOver)
         this->attempt.reset();
     for (auto& slot : this->slots) {
-        slot.nextOrder = this->now;
+        slot.nextOrderAt = this->now;
         if (!newTerm)
             continue;
-        slot.forgetGoal();
-        slot.amissSince.reset();
-        slot.keepsUpSince.reset();
+        slot.clearTarget();
+        slot.notActingSince.reset();
+        slot.caughtUpSince.reset();
     }
 }
 
-void FailoverCoordinator::adoptOwn(GroupRecord record, std::uint64_t revision)
+void FailoverCoordinator::adoptOwnRecord(GroupRecord record, std::uint64_t revision)
 {
     this->pendingSwap.reset();
     const auto term = record.term;
-    this->adopt({ .record = std::move(record), .revision = revision });
+    this->adoptRecord({ .record = std::move(record), .revision = revision });
     if (this->attempt && this->attempt->term == term)
         this->attempt->claimed = true;
 }
 
-Duration FailoverCoordinator::recordInterval() const noexcept
+Duration FailoverCoordinator::recordReadInterval() const noexcept
 {
-    const bool unknown = !this->current || !this->current->record.isSettled();
+    const bool recordUnsettled = !this->current || !this->current->record.isSettled();
     const bool unanswered = this->pendingSwap && this->pendingSwap->unanswered;
-    if (unknown || unanswered || this->doubted)
+    if (recordUnsettled || unanswered || this->recordMayBeOutdated)
         return this->options.settings.retryInterval;
-    return this->options.settings.recordInterval;
+    return this->options.settings.recordReadInterval;
 }
 
 void FailoverCoordinator::readRecordIfDue()
 {
-    const auto since = this->lastRead ? this->now - *this->lastRead : Duration::max();
-    if (since < (this->readingRecord ? readLostAfter : this->recordInterval()))
+    const auto since = this->lastReadAt ? this->now - *this->lastReadAt : Duration::max();
+    if (since < (this->readingRecord ? recordReadTimeout : this->recordReadInterval()))
         return;
     this->readingRecord = true;
-    this->lastRead = this->now;
+    this->lastReadAt = this->now;
     this->actions.emplace_back(ReadRecord {});
 }
 
 void FailoverCoordinator::swap(GroupRecord record)
 {
     record.promoter = this->options.vm;
-    record.changeId = this->newChangeId();
+    record.changeId = this->makeChangeId();
     const auto revision = this->current ? this->current->revision : 0;
     SwapRecord swap { .expectedRevision = revision, .record = std::move(record) };
     this->pendingSwap = PendingSwap { .swap = swap };
     this->actions.emplace_back(std::move(swap));
 }
 
-std::string FailoverCoordinator::newChangeId()
+std::string FailoverCoordinator::makeChangeId()
 {
     return this->options.vm.string() + '/' + std::to_string(this->random());
 }
@@ -210,17 +210,18 @@
 /// first record is made only when every slot can be seen.
 void FailoverCoordinator::bootstrap()
 {
-    if (!this->absent || this->now - this->options.startedAt < this->rankDelay())
+    if (!this->recordAbsent || this->now - this->options.startedAt < this->rankDelay())
         return;
-    const bool allSeen = std::all_of(this->slots.begin(), this->slots.end(),
-        [this](const SlotWatch& slot) { return this->answersNow(slot); });
-    if (!allSeen || this->slots.empty())
+    const bool allResponsive = std::all_of(this->slots.begin(), this->slots.end(),
+        [this](const SlotMonitor& slot) { return this->isResponsive(slot); });
+    if (!allResponsive || this->slots.empty())
         return;
     const auto best = std::max_element(
-        this->slots.begin(), this->slots.end(), [](const SlotWatch& left, const SlotWatch& right) {
-            const auto& one = left.status();
-            const auto& other = right.status();
-            return std::pair { one.progress, one.primary } < std::pair { other.progress, other.primary };
+        this->slots.begin(), this->slots.end(), [](const SlotMonitor& left, const SlotMonitor& right) {
+            const auto& leftStatus = left.status();
+            const auto& rightStatus = right.status();
+            return std::pair { leftStatus.progress, leftStatus.primary }
+            < std::pair { rightStatus.progress, rightStatus.primary };
         });
     const auto& status = best->status();
     GroupRecord record { .primary = best->name(), .inSync = { best->name() } };
@@ -245,13 +246,13 @@
     auto* slot = this->find(event.sample.slot);
     if (slot == nullptr)
         return;
-    slot->answered(event.sample);
-    this->noteFence(event.sample);
-    this->expectOfReplicas(event.sample);
-    this->noteKeepingUp(*slot);
+    slot->onAnswered(event.sample);
+    this->recordFence(event.sample);
+    this->setReplicaTargets(event.sample);
+    this->updateCaughtUpSince(*slot);
 }
 
-void FailoverCoordinator::on(const SlotSilent&)
+void FailoverCoordinator::on(const SlotUnreachable&)
 {
     // Silence is measured from the last answer; a single failure may be an old connection that something in
     // between has forgotten, and the next probe goes over a new one.
@@ -260,7 +261,7 @@
 void FailoverCoordinator::on(const SlotRefused& event)
 {
     if (auto* slot = this->find(event.slot))
-        slot->refused(this->now);
+        slot->onRefused(this->now);
 }
 
 void FailoverCoordinator::on(const SiblingsAnswered& event)
@@ -268,58 +269,59 @@
     auto* slot = this->find(event.slot);
     if (slot == nullptr)
         return;
-    slot->judged(event);
+    slot->onSiblingsAnswered(event);
     for (const auto& opinion : event.opinions) {
         if (!opinion.status)
             continue;
         const StatusSample sample {
             .slot = event.slot, .status = *opinion.status, .askedAt = event.askedAt, .receivedAt = this->now
         };
-        slot->relayed(sample);
-        this->expectOfReplicas(sample);
+        slot->onRelayed(sample);
+        this->setReplicaTargets(sample);
     }
 }
 
-void FailoverCoordinator::on(const LeavingChanged& event) { this->leaving = event.leaving; }
+void FailoverCoordinator::on(const LeavingSlotsChanged& event) { this->leaving = event.leaving; }
 
-void FailoverCoordinator::probe()
+void FailoverCoordinator::probeDueSlots()
 {
     for (auto& slot : this->slots) {
-        if (this->now < slot.nextProbe)
+        if (this->now < slot.nextProbeAt)
             continue;
-        slot.nextProbe = this->now + this->options.settings.probeInterval;
+        slot.nextProbeAt = this->now + this->options.settings.probeInterval;
         this->actions.emplace_back(ProbeSlot { slot.name() });
     }
 }
 
-void FailoverCoordinator::askSiblingsAbout(SlotWatch& slot)
+void FailoverCoordinator::askSiblingsAbout(SlotMonitor& slot)
 {
-    if (this->now < slot.nextQuestion)
+    if (this->now < slot.nextSiblingQueryAt)
         return;
-    slot.nextQuestion = this->now + this->options.settings.askInterval;
+    slot.nextSiblingQueryAt = this->now + this->options.settings.askInterval;
     this->actions.emplace_back(AskSiblings { slot.name() });
 }
 
 /// One proxy with a broken network sees every slot silent. So its own view never suffices: siblings in other
 /// zones have to fail to reach the slot as well, and one whose siblings do not answer decides nothing.
-bool FailoverCoordinator::isGone(const SlotWatch& slot) const
+bool FailoverCoordinator::isDown(const SlotMonitor& slot) const
 {
     const auto& settings = this->options.settings;
-    const auto& judgement = slot.judgement();
-    if (slot.silence(this->now) < settings.suspectAfter + this->rankDelay() || !judgement)
+    const auto& siblingsAnswer = slot.siblingsAnswer();
+    if (slot.timeSinceAnswer(this->now) < settings.suspectAfter + this->rankDelay() || !siblingsAnswer)
         return false;
-    if (judgement->asked == 0)
+    if (siblingsAnswer->asked == 0)
         return true;
-    const auto count = static_cast<std::size_t>(judgement->opinions.size());
-    const auto reaching = static_cast<std::size_t>(std::count_if(judgement->opinions.begin(),
-        judgement->opinions.end(), [](const SlotOpinion& opinion) { return opinion.reachable; }));
+    const auto count = static_cast<std::size_t>(siblingsAnswer->opinions.size());
+    const auto reaching = static_cast<std::size_t>(std::count_if(siblingsAnswer->opinions.begin(),
+        siblingsAnswer->opinions.end(), [](const SlotOpinion& opinion) { return opinion.reachable; }));
     const auto failing = count - reaching;
-    constexpr std::size_t agreeing = 2;
-    if (reaching == 0 && failing >= std::min(agreeing, judgement->asked))
+    constexpr std::size_t minAgreeingSiblings = 2;
+    if (reaching == 0 && failing >= std::min(minAgreeingSiblings, siblingsAnswer->asked))
         return true;
     // Reached by some and not by others: here the home that is to serve the callers cannot, and it is not
     // alone in that.
-    return slot.silence(this->now) >= settings.contestedAfter && failing > 0 && failing + 1 >= reaching;
+    return slot.timeSinceAnswer(this->now) >= settings.contestedAfter && failing > 0
+        && failing + 1 >= reaching;
 }
 
 const GroupRecord& FailoverCoordinator::record() const
@@ -338,32 +340,33 @@
 
 // Small questions
 
-SlotWatch* FailoverCoordinator::find(const SlotName& name)
+SlotMonitor* FailoverCoordinator::find(const SlotName& name)
 {
     const auto found = std::find_if(
-        this->slots.begin(), this->slots.end(), [&](const SlotWatch& slot) { return slot.name() == name; });
+        this->slots.begin(), this->slots.end(), [&](const SlotMonitor& slot) { return slot.name() == name; });
     return found == this->slots.end() ? nullptr : &*found;
 }
 
-const SlotWatch* FailoverCoordinator::find(const SlotName& name) const
+const SlotMonitor* FailoverCoordinator::find(const SlotName& name) const
 {
     const auto found = std::find_if(
-        this->slots.begin(), this->slots.end(), [&](const SlotWatch& slot) { return slot.name() == name; });
+        this->slots.begin(), this->slots.end(), [&](const SlotMonitor& slot) { return slot.name() == name; });
     return found == this->slots.end() ? nullptr : &*found;
 }
 
-bool FailoverCoordinator::isActing(const SlotWatch& slot) const
+bool FailoverCoordinator::isActingPrimary(const SlotMonitor& slot) const
 {
-    if (!slot.latest())
+    if (!slot.latestSample())
         return false;
     const auto& status = slot.status();
     const auto term = this->record().servingTerm;
     return status.primary && status.progress.term == term && status.fenced <= term;
 }
 
-bool FailoverCoordinator::answersNow(const SlotWatch& slot) const noexcept
+bool FailoverCoordinator::isResponsive(const SlotMonitor& slot) const noexcept
 {
-    return slot.latest().has_value() && slot.silence(this->now) < this->options.settings.suspectAfter;
+    return slot.latestSample().has_value()
+        && slot.timeSinceAnswer(this->now) < this->options.settings.suspectAfter;
 }
 
 bool FailoverCoordinator::isLeaving(const SlotName& name) const
@@ -385,7 +388,7 @@
 {
     Term highest = this->current ? this->current->record.term : Term {};
     for (const auto& slot : this->slots) {
-        if (slot.latest())
+        if (slot.latestSample())
             highest = std::max({ highest, slot.status().fenced, slot.status().progress.term });
     }
     return highest;
@@ -404,9 +407,9 @@
         view.inSync = record.inSync;
         view.base = record.base;
     }
-    if (view == this->published)
+    if (view == this->publishedView)
         return;
-    this->published = view;
+    this->publishedView = view;
     this->actions.emplace_back(PublishView { std::move(view) });
 }
 
--- a/src/failover/primary_choice.cpp
+++ b/src/failover/primary_choice.cpp
@@ -15,7 +15,7 @@
 
 using Candidates = std::map<SlotName, Progress>;
 
-Candidates without(const Candidates& candidates, const std::vector<SlotName>& avoided)
+Candidates excluding(const Candidates& candidates, const std::vector<SlotName>& avoided)
 {
     Candidates rest = candidates;
     std::erase_if(rest, [&](const auto& entry) { return contains(avoided, entry.first); });
@@ -39,39 +39,39 @@
 /// Three slots or more: each acknowledged commit is on a majority, so any majority of fenced slots has one
 /// that holds it, and the most advanced log of them holds all. Avoided slots may be left out only if the rest
 /// is a majority still; otherwise the one left out could be the only holder.
-std::optional<SlotName> chooseByMajority(const PrimaryChoice& choice)
+std::optional<SlotName> selectByMajority(const PrimarySelectionInput& input)
 {
-    const auto needed = majorityOf(choice.slots.size());
-    if (choice.fenced.size() < needed)
+    const auto majority = majorityOf(input.slots.size());
+    if (input.fenced.size() < majority)
         return std::nullopt;
-    const auto preferred = without(choice.fenced, choice.avoided);
-    return mostAdvanced(preferred.size() >= needed ? preferred : choice.fenced, choice.record.primary);
+    const auto preferred = excluding(input.fenced, input.avoided);
+    return mostAdvanced(preferred.size() >= majority ? preferred : input.fenced, input.record.primary);
 }
 
 /// Fewer slots: each member of the in-sync set holds every commit that was acknowledged in the serving term,
 /// but only once it is in that term. One that was added and has not come so far may lack what was
 /// acknowledged without it in the term before. The primary holds all by itself, also when it was chosen and
 /// not yet promoted.
-std::optional<SlotName> chooseByInSyncSet(const PrimaryChoice& choice)
+std::optional<SlotName> selectByInSyncSet(const PrimarySelectionInput& input)
 {
     Candidates eligible;
-    for (const auto& [slot, progress] : choice.fenced) {
-        const bool current = slot == choice.record.primary;
-        const bool holdsAll = current || progress.term == choice.record.servingTerm;
-        if (holdsAll && contains(choice.record.inSync, slot))
+    for (const auto& [slot, progress] : input.fenced) {
+        const bool current = slot == input.record.primary;
+        const bool holdsAllCommits = current || progress.term == input.record.servingTerm;
+        if (holdsAllCommits && contains(input.record.inSync, slot))
             eligible.emplace(slot, progress);
     }
-    const auto preferred = without(eligible, choice.avoided);
-    return mostAdvanced(preferred.empty() ? eligible : preferred, choice.record.primary);
+    const auto preferred = excluding(eligible, input.avoided);
+    return mostAdvanced(preferred.empty() ? eligible : preferred, input.record.primary);
 }
 
 } // namespace
 
-std::optional<SlotName> choosePrimary(const PrimaryChoice& choice)
+std::optional<SlotName> selectPrimary(const PrimarySelectionInput& input)
 {
-    if (choice.slots.size() >= majorityGroupSize)
-        return chooseByMajority(choice);
-    return chooseByInSyncSet(choice);
+    if (input.slots.size() >= majorityGroupSize)
+        return selectByMajority(input);
+    return selectByInSyncSet(input);
 }
 
 } // namespace cyclamendrift
--- a/src/failover/slot_watch.cpp
+++ b/src/failover/slot_watch.cpp
@@ -7,77 +7,77 @@
 
 namespace cyclamendrift {
 
-SlotWatch::SlotWatch(SlotName name, Instant now)
-    : nextProbe(now)
-    , nextOrder(now)
-    , nextQuestion(now)
+SlotMonitor::SlotMonitor(SlotName name, Instant now)
+    : nextProbeAt(now)
+    , nextOrderAt(now)
+    , nextSiblingQueryAt(now)
     , slotName(std::move(name))
-    , lastAnswer(now)
-    , lastRelayed(now)
-    , lastMove(now)
+    , lastAnswerAt(now)
+    , lastRelayedAt(now)
+    , lastProgressAt(now)
 {
 }
 
-void SlotWatch::answered(const StatusSample& sample)
+void SlotMonitor::onAnswered(const StatusSample& sample)
 {
-    this->lastAnswer = std::max(this->lastAnswer, sample.receivedAt);
-    this->siblings.reset();
-    this->take(sample);
+    this->lastAnswerAt = std::max(this->lastAnswerAt, sample.receivedAt);
+    this->lastSiblingsAnswer.reset();
+    this->acceptSample(sample);
 }
 
-void SlotWatch::relayed(const StatusSample& sample)
+void SlotMonitor::onRelayed(const StatusSample& sample)
 {
-    this->lastRelayed = std::max(this->lastRelayed, sample.receivedAt);
-    this->take(sample);
+    this->lastRelayedAt = std::max(this->lastRelayedAt, sample.receivedAt);
+    this->acceptSample(sample);
 }
 
-void SlotWatch::refused(Instant now)
+void SlotMonitor::onRefused(Instant now)
 {
-    this->lastAnswer = std::max(this->lastAnswer, now);
-    this->siblings.reset();
+    this->lastAnswerAt = std::max(this->lastAnswerAt, now);
+    this->lastSiblingsAnswer.reset();
 }
 
-void SlotWatch::judged(const SiblingsAnswered& answer)
+void SlotMonitor::onSiblingsAnswered(const SiblingsAnswered& answer)
 {
     // An answer from before the slot last spoke to this VM says nothing of its silence.
-    if (answer.askedAt > this->lastAnswer)
-        this->siblings = answer;
+    if (answer.askedAt > this->lastAnswerAt)
+        this->lastSiblingsAnswer = answer;
 }
 
-const SlotStatus& SlotWatch::status() const
+const SlotStatus& SlotMonitor::status() const
 {
-    if (!this->newest)
+    if (!this->newestSample)
         throw FailoverError { "the slot has given no status yet" };
-    return this->newest->status;
+    return this->newestSample->status;
 }
 
-Duration SlotWatch::silenceToAll(Instant now) const noexcept
+Duration SlotMonitor::timeSinceAnyAnswer(Instant now) const noexcept
 {
-    return now - std::max(this->lastAnswer, this->lastRelayed);
+    return now - std::max(this->lastAnswerAt, this->lastRelayedAt);
 }
 
-void SlotWatch::expect(Progress progress, Instant now)
+void SlotMonitor::setTarget(Progress progress, Instant now)
 {
-    const bool reached = this->newest && this->newest->status.progress >= progress;
-    if (!this->goal && !reached)
-        this->goal = Goal { .progress = progress, .since = now };
+    const bool reached = this->newestSample && this->newestSample->status.progress >= progress;
+    if (!this->target && !reached)
+        this->target = Target { .progress = progress, .since = now };
 }
 
-Duration SlotWatch::behind(Instant now) const noexcept
+Duration SlotMonitor::timeBehind(Instant now) const noexcept
 {
-    return this->goal ? now - this->goal->since : Duration::zero();
+    return this->target ? now - this->target->since : Duration::zero();
 }
 
-void SlotWatch::take(const StatusSample& sample)
+void SlotMonitor::acceptSample(const StatusSample& sample)
 {
     // Several connections and siblings bring statuses out of order; an older one must not hide a fence.
-    if (this->newest && sample.askedAt < this->newest->askedAt)
+    if (this->newestSample && sample.askedAt < this->newestSample->askedAt)
         return;
-    if (!this->newest || this->newest->status.progress != sample.status.progress)
-        this->lastMove = sample.receivedAt;
-    this->newest = sample;
-    if (this->goal && sample.status.progress >= this->goal->progress)
-        this->goal.reset();
+    if (!this->newestSample || this->newestSample->status.progress != sample.status.progress)
+        this->lastProgressAt = sample.receivedAt;
+    this->newestSample = sample;
+    if (this->target && sample.status.progress >= this->target->progress)
+        this->target.reset();
 }
 
 } // namespace cyclamendrift
--- a/src/proxy/group_driver.cpp
+++ b/src/proxy/group_driver.cpp
@@ -29,7 +29,7 @@
 
 std::string recordKey(const DatabaseName& name) { return "cyclamendrift/groups/" + name.path(); }
 
-RevisedRecord revisedOf(const StoreEntry& entry)
+VersionedRecord revisedOf(const StoreEntry& entry)
 {
     return { .record = GroupRecord::decode(entry.value), .revision = entry.revision };
 }
@@ -152,7 +152,7 @@
     if (found == this->leaving)
         return;
     this->leaving = found;
-    this->give(LeavingChanged { std::move(found) });
+    this->give(LeavingSlotsChanged { std::move(found) });
 }
 
 void AsioGroupDriver::give(FailoverEvent event)
@@ -243,7 +243,7 @@
         return;
     if (!result.reachable) {
         ++this->counts.silentProbes;
-        this->give(SlotSilent { slot });
+        this->give(SlotUnreachable { slot });
         return;
     }
     if (!result.sample) {
@@ -297,7 +297,7 @@
         if (entry)
             read.current = revisedOf(*entry);
     } catch (const Error&) {
-        this->give(RecordUnavailable {});
+        this->give(RecordReadFailed {});
         co_return;
     }
     this->give(std::move(read));
--- a/tests/failover/failover_property_test.cpp
+++ b/tests/failover/failover_property_test.cpp
@@ -24,7 +24,7 @@
     SlowReplica,
     SlotLeaves,
 };
-constexpr int faultKinds = 12;
+constexpr int faultKindCount = 12;
 
 /// A fault that begins and, unless everything is healed before, ends.
 struct Fault {
@@ -45,7 +45,7 @@
 rc::Gen<Fault> anyFault()
 {
     return rc::gen::build<Fault>(rc::gen::set(&Fault::kind,
-                                     rc::gen::map(rc::gen::inRange(0, faultKinds),
+                                     rc::gen::map(rc::gen::inRange(0, faultKindCount),
                                          [](int kind) { return static_cast<FaultKind>(kind); })),
         rc::gen::set(&Fault::target, rc::gen::inRange<std::size_t>(0, 6)),
         rc::gen::set(&Fault::other, rc::gen::inRange<std::size_t>(0, 6)),
@@ -55,71 +55,71 @@
             rc::gen::map(rc::gen::inRange(20, 6000), [](int ms) { return Duration { ms * 1ms }; })));
 }
 
-void begin(GroupWorld& world, const Fault& fault, std::size_t slots)
+void begin(GroupSimulation& simulation, const Fault& fault, std::size_t slots)
 {
     const auto slot = fault.target % slots;
     const auto home = fault.target % 2;
     switch (fault.kind) {
     case FaultKind::KillSlot:
-        return world.kill(slot);
+        return simulation.kill(slot);
     case FaultKind::IsolateSlot:
-        return world.isolate(slot);
+        return simulation.isolate(slot);
     case FaultKind::CutHomeFromSlot:
-        return world.cut(GroupWorld::proxy(home), GroupWorld::slot(fault.other % slots));
+        return simulation.cut(GroupSimulation::proxy(home), GroupSimulation::slot(fault.other % slots));
     case FaultKind::CutHomeFromStore:
-        return world.cut(GroupWorld::proxy(home), GroupWorld::store());
+        return simulation.cut(GroupSimulation::proxy(home), GroupSimulation::store());
     case FaultKind::CutHomes:
-        return world.cut(GroupWorld::proxy(0), GroupWorld::proxy(1));
+        return simulation.cut(GroupSimulation::proxy(0), GroupSimulation::proxy(1));
     case FaultKind::PauseHome:
-        return world.pause(home, fault.lasts);
+        return simulation.pause(home, fault.lasts);
     case FaultKind::PauseHomeBeforeOrder:
-        return world.pauseBeforeNextOrder(home, fault.lasts);
+        return simulation.pauseBeforeNextOrder(home, fault.lasts);
     case FaultKind::KillHome:
-        return world.killProxy(home);
+        return simulation.killProxy(home);
     case FaultKind::StoreDown:
-        world.storeUp = false;
+        simulation.storeUp = false;
         return;
     case FaultKind::StoreLosesAnswers:
-        world.storeLosesAnswers = true;
+        simulation.storeLosesAnswers = true;
         return;
     case FaultKind::SlowReplica:
-        world.slotAt(slot).lag = fault.lasts;
+        simulation.slotAt(slot).lag = fault.lasts;
         return;
     case FaultKind::SlotLeaves:
-        return world.setLeaving({ slot });
+        return simulation.setLeaving({ slot });
     }
 }
 
-void end(GroupWorld& world, const Fault& fault, std::size_t slots)
+void end(GroupSimulation& simulation, const Fault& fault, std::size_t slots)
 {
     const auto slot = fault.target % slots;
     const auto home = fault.target % 2;
     switch (fault.kind) {
     case FaultKind::KillSlot:
-        return world.revive(slot);
+        return simulation.revive(slot);
     case FaultKind::IsolateSlot:
         for (std::size_t other = 0; other < slots; ++other)
-            world.heal(GroupWorld::slot(slot), GroupWorld::slot(other));
+            simulation.heal(GroupSimulation::slot(slot), GroupSimulation::slot(other));
         return;
     case FaultKind::CutHomeFromSlot:
-        return world.heal(GroupWorld::proxy(home), GroupWorld::slot(fault.other % slots));
+        return simulation.heal(GroupSimulation::proxy(home), GroupSimulation::slot(fault.other % slots));
     case FaultKind::CutHomeFromStore:
-        return world.heal(GroupWorld::proxy(home), GroupWorld::store());
+        return simulation.heal(GroupSimulation::proxy(home), GroupSimulation::store());
     case FaultKind::CutHomes:
-        return world.heal(GroupWorld::proxy(0), GroupWorld::proxy(1));
+        return simulation.heal(GroupSimulation::proxy(0), GroupSimulation::proxy(1));
     case FaultKind::KillHome:
-        return world.restartProxy(home);
+        return simulation.restartProxy(home);
     case FaultKind::StoreDown:
-        world.storeUp = true;
+        simulation.storeUp = true;
         return;
     case FaultKind::StoreLosesAnswers:
-        world.storeLosesAnswers = false;
+        simulation.storeLosesAnswers = false;
         return;
     case FaultKind::SlowReplica:
-        world.slotAt(slot).lag = 2ms;
+        simulation.slotAt(slot).lag = 2ms;
         return;
     case FaultKind::SlotLeaves:
-        return world.setLeaving({});
+        return simulation.setLeaving({});
     case FaultKind::PauseHome:
     case FaultKind::PauseHomeBeforeOrder:
         return;
@@ -144,34 +144,36 @@
     return steps;
 }
 
-constexpr Duration faultsEnd = 10s;
+constexpr Duration faultPhase = 10s;
 /// The brief allows 11 s; a second is left for what an acknowledgement takes after it.
-constexpr Duration healsWithin = 10s;
+constexpr Duration recoveryTime = 10s;
 
-void checkInterleaving(std::size_t slots)
+void checkRandomFaults(std::size_t slots)
 {
     const auto faults = *rc::gen::container<std::vector<Fault>>(anyFault()).as("faults");
     const auto seed = *rc::gen::arbitrary<std::uint64_t>().as("seed");
     const auto lag = *rc::gen::inRange(1, 40).as("replica lag in ms");
-    GroupWorld world { { .slots = slots, .seed = seed, .replicaLag = lag * 1ms, .duplicatesInHundred = 10 } };
-    const auto start = world.now();
+    GroupSimulation simulation {
+        { .slots = slots, .seed = seed, .replicaLag = lag * 1ms, .duplicatesInHundred = 10 }
+    };
+    const auto start = simulation.now();
     for (const auto& step : stepsOf(faults)) {
-        if (step.at >= faultsEnd)
+        if (step.at >= faultPhase)
             break;
-        world.runFor(start + step.at - world.now());
+        simulation.runFor(start + step.at - simulation.now());
         if (step.begins)
-            begin(world, *step.fault, slots);
+            begin(simulation, *step.fault, slots);
         else
-            end(world, *step.fault, slots);
+            end(simulation, *step.fault, slots);
     }
-    world.runFor(start + faultsEnd - world.now());
-    world.healEverything();
-    world.runFor(healsWithin);
-    const auto healed = world.now();
-    world.runFor(1s);
-    for (const auto& breach : world.breaches())
-        RC_FAIL(breach);
-    RC_ASSERT(world.acknowledgedSince(healed));
+    simulation.runFor(start + faultPhase - simulation.now());
+    simulation.healEverything();
+    simulation.runFor(recoveryTime);
+    const auto healed = simulation.now();
+    simulation.runFor(1s);
+    for (const auto& recordViolation : simulation.violations())
+        RC_FAIL(recordViolation);
+    RC_ASSERT(simulation.acknowledgedSince(healed));
 }
 
 } // namespace
@@ -184,12 +186,12 @@
     // end.
     TEST_CASE("no interleaving of faults breaks a group of three")
     {
-        checkProperty("three slots", [] { checkInterleaving(3); });
+        checkProperty("three slots", [] { checkRandomFaults(3); });
     }
 
     // The same with one replica, where the in-sync set has to shrink and grow again between the faults.
     TEST_CASE("no interleaving of faults breaks a group of two")
     {
-        checkProperty("two slots", [] { checkInterleaving(2); });
+        checkProperty("two slots", [] { checkRandomFaults(2); });
     }
 }
--- a/tests/failover/failover_test.cpp
+++ b/tests/failover/failover_test.cpp
@@ -22,26 +22,26 @@
 }
 
 /// A group that has been serving for a while.
-GroupWorld servingWorld(std::size_t slots, std::size_t observers = 1)
+GroupSimulation makeServingGroup(std::size_t slots, std::size_t observers = 1)
 {
-    GroupWorld world { { .slots = slots, .observers = observers } };
-    world.runFor(6s);
-    return world;
+    GroupSimulation simulation { { .slots = slots, .observers = observers } };
+    simulation.runFor(6s);
+    return simulation;
 }
 
-void checkServes(GroupWorld& world)
+void checkGroupServes(GroupSimulation& simulation)
 {
-    const auto from = world.now();
-    world.runFor(1s);
-    CHECK(world.acknowledgedSince(from));
-    for (const auto& breach : world.breaches())
-        FAIL_CHECK(breach);
+    const auto from = simulation.now();
+    simulation.runFor(1s);
+    CHECK(simulation.acknowledgedSince(from));
+    for (const auto& recordViolation : simulation.violations())
+        FAIL_CHECK(recordViolation);
 }
 
-void cutFromSlots(GroupWorld& world, std::size_t home, std::size_t slots)
+void cutFromSlots(GroupSimulation& simulation, std::size_t home, std::size_t slots)
 {
     for (std::size_t index = 0; index < slots; ++index)
-        world.cut(GroupWorld::proxy(home), GroupWorld::slot(index));
+        simulation.cut(GroupSimulation::proxy(home), GroupSimulation::slot(index));
 }
 
 } // namespace
@@ -52,25 +52,25 @@
     // lose what only the other holds.
     TEST_CASE("the most advanced of a fenced majority is chosen")
     {
-        const PrimaryChoice choice {
+        const PrimarySelectionInput input {
             .record = { .primary = a }, .slots = { a, b, c }, .fenced = { { b, at(1, 8) }, { c, at(1, 9) } }
         };
-        CHECK(choosePrimary(choice) == c);
-        CHECK(choosePrimary({ .slots = { a, b, c }, .fenced = { { c, at(1, 9) } } }) == std::nullopt);
-        CHECK(choosePrimary({ .slots = { a, b, c }, .fenced = { { b, at(2, 3) }, { c, at(1, 9) } } }) == b);
+        CHECK(selectPrimary(input) == c);
+        CHECK(selectPrimary({ .slots = { a, b, c }, .fenced = { { c, at(1, 9) } } }) == std::nullopt);
+        CHECK(selectPrimary({ .slots = { a, b, c }, .fenced = { { b, at(2, 3) }, { c, at(1, 9) } } }) == b);
     }
 
     // A leaving primary is the only slot of the fenced two that is sure to hold a
     // commit which the third confirmed. Avoiding it would lose that commit.
     TEST_CASE("an avoided slot is left out only when the others are enough")
     {
-        PrimaryChoice choice { .record = { .primary = a },
+        PrimarySelectionInput input { .record = { .primary = a },
             .slots = { a, b, c },
             .fenced = { { a, at(1, 9) }, { b, at(1, 7) } },
             .avoided = { a } };
-        CHECK(choosePrimary(choice) == a);
-        choice.fenced.emplace(c, at(1, 9));
-        CHECK(choosePrimary(choice) == c);
+        CHECK(selectPrimary(input) == a);
+        input.fenced.emplace(c, at(1, 9));
+        CHECK(selectPrimary(input) == c);
     }
 
     // The replica of two fell behind and left the in-sync set; then the primary
@@ -79,18 +79,18 @@
     TEST_CASE("a dropped member is never chosen, nor one that has not caught up "
               "since it joined")
     {
-        PrimaryChoice choice {
+        PrimarySelectionInput input {
             .record = { .servingTerm = Term { 2 }, .primary = a, .inSync = { a } },
             .slots = { a, b },
             .fenced = { { b, at(2, 9) } },
         };
-        CHECK(choosePrimary(choice) == std::nullopt);
-        choice.record.inSync = { a, b };
-        CHECK(choosePrimary(choice) == b);
-        choice.fenced[b] = at(1, 9);
-        CHECK(choosePrimary(choice) == std::nullopt);
-        choice.fenced[a] = at(2, 9);
-        CHECK(choosePrimary(choice) == a);
+        CHECK(selectPrimary(input) == std::nullopt);
+        input.record.inSync = { a, b };
+        CHECK(selectPrimary(input) == b);
+        input.fenced[b] = at(1, 9);
+        CHECK(selectPrimary(input) == std::nullopt);
+        input.fenced[a] = at(2, 9);
+        CHECK(selectPrimary(input) == a);
     }
 
     TEST_CASE("a record comes back whole, and garbage is refused")
@@ -117,19 +117,19 @@
     {
         for (const std::size_t slots : { 2U, 3U }) {
             CAPTURE(slots);
-            auto world = servingWorld(slots);
-            const auto killedAt = world.now();
-            world.kill(0);
-            world.runFor(3s);
-            CHECK(world.primaryIndex() != 0);
-            CHECK(world.acknowledgedSince(killedAt + 500ms));
-            world.revive(0);
-            world.runFor(8s);
-            world.workload = false;
-            world.runFor(1s);
-            CHECK(world.slotAt(0).log == world.slotAt(world.primaryIndex()).log);
-            world.workload = true;
-            checkServes(world);
+            auto simulation = makeServingGroup(slots);
+            const auto killedAt = simulation.now();
+            simulation.kill(0);
+            simulation.runFor(3s);
+            CHECK(simulation.primaryIndex() != 0);
+            CHECK(simulation.acknowledgedSince(killedAt + 500ms));
+            simulation.revive(0);
+            simulation.runFor(8s);
+            simulation.workload = false;
+            simulation.runFor(1s);
+            CHECK(simulation.slotAt(0).log == simulation.slotAt(simulation.primaryIndex()).log);
+            simulation.workload = true;
+            checkGroupServes(simulation);
         }
     }
 
@@ -137,18 +137,21 @@
     // see it well; replacing it would stop every caller for the fault of one VM.
     TEST_CASE("one proxy that cannot reach the primary replaces nothing")
     {
-        auto world = servingWorld(3);
-        SUBCASE("it reaches its siblings") { world.cut(GroupWorld::proxy(0), GroupWorld::slot(0)); }
+        auto simulation = makeServingGroup(3);
+        SUBCASE("it reaches its siblings")
+        {
+            simulation.cut(GroupSimulation::proxy(0), GroupSimulation::slot(0));
+        }
         SUBCASE("it is cut off from them as well")
         {
-            world.cut(GroupWorld::proxy(0), GroupWorld::slot(0));
-            world.cut(GroupWorld::proxy(0), GroupWorld::proxy(1));
-            world.cut(GroupWorld::proxy(0), GroupWorld::proxy(2));
+            simulation.cut(GroupSimulation::proxy(0), GroupSimulation::slot(0));
+            simulation.cut(GroupSimulation::proxy(0), GroupSimulation::proxy(1));
+            simulation.cut(GroupSimulation::proxy(0), GroupSimulation::proxy(2));
         }
-        world.runFor(8s);
-        CHECK(world.promotions() == 1);
-        CHECK(world.viewOf(1).phase == GroupView::Phase::Serving);
-        checkServes(world);
+        simulation.runFor(8s);
+        CHECK(simulation.promotions() == 1);
+        CHECK(simulation.viewOf(1).phase == GroupView::Phase::Serving);
+        checkGroupServes(simulation);
     }
 
     // The primary lives on, cut off from its group, and half of the proxies still
@@ -159,22 +162,22 @@
     {
         for (const std::size_t slots : { 2U, 3U }) {
             CAPTURE(slots);
-            auto world = servingWorld(slots);
-            world.isolate(0);
+            auto simulation = makeServingGroup(slots);
+            simulation.isolate(0);
             for (std::size_t index = 1; index < slots; ++index)
-                world.cut(GroupWorld::proxy(1), GroupWorld::slot(index));
-            world.cut(GroupWorld::proxy(0), GroupWorld::slot(0));
-            world.cut(GroupWorld::proxy(2), GroupWorld::slot(0));
+                simulation.cut(GroupSimulation::proxy(1), GroupSimulation::slot(index));
+            simulation.cut(GroupSimulation::proxy(0), GroupSimulation::slot(0));
+            simulation.cut(GroupSimulation::proxy(2), GroupSimulation::slot(0));
             SUBCASE("the home beside it reaches the store") { }
             SUBCASE("that home is cut off from the store as well")
             {
-                world.cut(GroupWorld::proxy(1), GroupWorld::store());
+                simulation.cut(GroupSimulation::proxy(1), GroupSimulation::store());
             }
-            world.runFor(8s);
-            checkServes(world);
-            world.healEverything();
-            world.runFor(8s);
-            checkServes(world);
+            simulation.runFor(8s);
+            checkGroupServes(simulation);
+            simulation.healEverything();
+            simulation.runFor(8s);
+            checkGroupServes(simulation);
         }
     }
 
@@ -183,17 +186,17 @@
     // promoted, or both would confirm commits.
     TEST_CASE("a primary with its replicas behind it is fenced before another is promoted")
     {
-        GroupWorld world { { .slots = 3, .writeInterval = 10ms } };
-        world.runFor(6s);
-        world.cut(GroupWorld::proxy(0), GroupWorld::slot(0));
-        world.cut(GroupWorld::proxy(2), GroupWorld::slot(0));
-        for (int step = 0; step < 8000 && world.promotions() == 1; ++step)
-            world.runFor(1ms);
-        REQUIRE(world.promotions() == 2);
+        GroupSimulation simulation { { .slots = 3, .writeInterval = 10ms } };
+        simulation.runFor(6s);
+        simulation.cut(GroupSimulation::proxy(0), GroupSimulation::slot(0));
+        simulation.cut(GroupSimulation::proxy(2), GroupSimulation::slot(0));
+        for (int step = 0; step < 8000 && simulation.promotions() == 1; ++step)
+            simulation.runFor(1ms);
+        REQUIRE(simulation.promotions() == 2);
         // The promoter stops before it tells the others whom to follow.
-        world.pause(0, 3s);
-        world.runFor(4s);
-        checkServes(world);
+        simulation.pause(0, 3s);
+        simulation.runFor(4s);
+        checkGroupServes(simulation);
     }
 
     // A home knows that the primary of two stands alone, then loses the store and
@@ -202,31 +205,31 @@
     TEST_CASE("a home with an old view acknowledges nothing alone after the "
               "replica has joined again")
     {
-        auto world = servingWorld(2);
-        world.kill(1);
-        world.runFor(3s);
-        REQUIRE(world.viewOf(1).inSync.size() == 1);
-        world.cut(GroupWorld::proxy(1), GroupWorld::store());
-        world.revive(1);
-        world.runFor(6s);
-        REQUIRE(world.record()->inSync.size() == 2);
-        world.slotAt(1).lag = 30s;
-        world.runFor(400ms);
-        world.kill(0);
-        world.runFor(4s);
-        CHECK(world.primaryIndex() == 1);
-        CHECK(world.breaches().empty());
+        auto simulation = makeServingGroup(2);
+        simulation.kill(1);
+        simulation.runFor(3s);
+        REQUIRE(simulation.viewOf(1).inSync.size() == 1);
+        simulation.cut(GroupSimulation::proxy(1), GroupSimulation::store());
+        simulation.revive(1);
+        simulation.runFor(6s);
+        REQUIRE(simulation.record()->inSync.size() == 2);
+        simulation.slotAt(1).lag = 30s;
+        simulation.runFor(400ms);
+        simulation.kill(0);
+        simulation.runFor(4s);
+        CHECK(simulation.primaryIndex() == 1);
+        CHECK(simulation.violations().empty());
     }
 
     // Proxies reach every slot, but the primary reaches no replica any more.
     // Writes hang although two slots that could serve them are there.
     TEST_CASE("a primary that no replica follows is replaced")
     {
-        auto world = servingWorld(3);
-        world.isolate(0);
-        world.runFor(5s);
-        CHECK(world.primaryIndex() != 0);
-        checkServes(world);
+        auto simulation = makeServingGroup(3);
+        simulation.isolate(0);
+        simulation.runFor(5s);
+        CHECK(simulation.primaryIndex() != 0);
+        checkGroupServes(simulation);
     }
 
     // Of two slots the replica dies or falls far behind. Writes wait a bounded
@@ -235,21 +238,21 @@
     TEST_CASE("a lost replica of two holds writes up for a bounded time and is "
               "not promoted then")
     {
-        auto world = servingWorld(2);
-        SUBCASE("it dies") { world.kill(1); }
-        SUBCASE("it lags") { world.slotAt(1).lag = 30s; }
-        world.runFor(2s);
-        checkServes(world);
-        const auto promotions = world.promotions();
-        world.kill(0);
-        world.revive(1);
-        world.runFor(5s);
-        CHECK(world.promotions() == promotions);
-        world.revive(0);
-        world.healEverything();
-        world.runFor(6s);
-        checkServes(world);
-        CHECK(world.record()->inSync.size() == 2);
+        auto simulation = makeServingGroup(2);
+        SUBCASE("it dies") { simulation.kill(1); }
+        SUBCASE("it lags") { simulation.slotAt(1).lag = 30s; }
+        simulation.runFor(2s);
+        checkGroupServes(simulation);
+        const auto promotions = simulation.promotions();
+        simulation.kill(0);
+        simulation.revive(1);
+        simulation.runFor(5s);
+        CHECK(simulation.promotions() == promotions);
+        simulation.revive(0);
+        simulation.healEverything();
+        simulation.runFor(6s);
+        checkGroupServes(simulation);
+        CHECK(simulation.record()->inSync.size() == 2);
     }
 
     // The store is down. A group goes on serving and acknowledging without it; a
@@ -260,17 +263,17 @@
     {
         for (const std::size_t slots : { 2U, 3U }) {
             CAPTURE(slots);
-            auto world = servingWorld(slots);
-            world.storeUp = false;
-            world.runFor(20s);
-            checkServes(world);
-            world.kill(0);
-            world.runFor(5s);
-            CHECK(world.promotions() == 1);
-            world.storeUp = true;
-            world.runFor(3s);
-            CHECK(world.promotions() == 2);
-            checkServes(world);
+            auto simulation = makeServingGroup(slots);
+            simulation.storeUp = false;
+            simulation.runFor(20s);
+            checkGroupServes(simulation);
+            simulation.kill(0);
+            simulation.runFor(5s);
+            CHECK(simulation.promotions() == 1);
+            simulation.storeUp = true;
+            simulation.runFor(3s);
+            CHECK(simulation.promotions() == 2);
+            checkGroupServes(simulation);
         }
     }
 
@@ -279,11 +282,11 @@
     // instead of fighting itself.
     TEST_CASE("lost answers of the store neither stop nor double a promotion")
     {
-        auto world = servingWorld(3);
-        world.storeLosesAnswers = true;
-        world.kill(0);
-        world.runFor(9s);
-        checkServes(world);
+        auto simulation = makeServingGroup(3);
+        simulation.storeLosesAnswers = true;
+        simulation.kill(0);
+        simulation.runFor(9s);
+        checkGroupServes(simulation);
     }
 
     // The answer to a claim is lost, though the claim stands in the record. Taken for another's, it would be
@@ -292,17 +295,17 @@
     {
         for (std::uint64_t seed = 1; seed <= 6; ++seed) {
             CAPTURE(seed);
-            GroupWorld world { { .homes = 1, .observers = 2, .seed = seed } };
-            world.runFor(6s);
-            world.kill(0);
-            world.storeLosesAnswers = true;
-            while (world.record()->isSettled())
-                world.runFor(1ms);
-            world.storeLosesAnswers = false;
-            const auto claimed = world.record()->term;
-            world.runFor(3s);
-            CHECK(world.record()->servingTerm == claimed);
-            checkServes(world);
+            GroupSimulation simulation { { .homes = 1, .observers = 2, .seed = seed } };
+            simulation.runFor(6s);
+            simulation.kill(0);
+            simulation.storeLosesAnswers = true;
+            while (simulation.record()->isSettled())
+                simulation.runFor(1ms);
+            simulation.storeLosesAnswers = false;
+            const auto claimed = simulation.record()->term;
+            simulation.runFor(3s);
+            CHECK(simulation.record()->servingTerm == claimed);
+            checkGroupServes(simulation);
         }
     }
 
@@ -312,14 +315,14 @@
     {
         for (const auto before : { 100ms, 702ms, 720ms, 730ms, 740ms }) {
             CAPTURE(before.count());
-            auto world = servingWorld(3);
-            world.kill(0);
-            world.runFor(before);
-            world.pauseBeforeNextOrder(0, 5s);
-            world.runFor(4s);
-            checkServes(world);
-            world.runFor(3s);
-            checkServes(world);
+            auto simulation = makeServingGroup(3);
+            simulation.kill(0);
+            simulation.runFor(before);
+            simulation.pauseBeforeNextOrder(0, 5s);
+            simulation.runFor(4s);
+            checkGroupServes(simulation);
+            simulation.runFor(3s);
+            checkGroupServes(simulation);
         }
     }
 
@@ -327,29 +330,29 @@
     // Nobody serves until another home takes over.
     TEST_CASE("a promoter that dies half-way is taken over")
     {
-        auto world = servingWorld(3);
-        world.kill(0);
-        while (world.record()->isSettled())
-            world.runFor(1ms);
-        const auto claimed = world.record()->term;
-        world.killProxy(0);
-        world.runFor(3s);
-        CHECK(world.record()->isSettled());
-        CHECK(world.record()->term > claimed);
-        checkServes(world);
+        auto simulation = makeServingGroup(3);
+        simulation.kill(0);
+        while (simulation.record()->isSettled())
+            simulation.runFor(1ms);
+        const auto claimed = simulation.record()->term;
+        simulation.killProxy(0);
+        simulation.runFor(3s);
+        CHECK(simulation.record()->isSettled());
+        CHECK(simulation.record()->term > claimed);
+        checkGroupServes(simulation);
     }
 
     // Both homes act at once.
     TEST_CASE("two promoters at once leave one primary")
     {
-        GroupWorld::Options options { .slots = 3 };
+        GroupSimulation::Options options { .slots = 3 };
         options.settings.rankDelay = 0s;
-        GroupWorld world { options };
-        world.runFor(6s);
-        world.kill(0);
-        world.runFor(4s);
-        CHECK(world.promotions() <= 3);
-        checkServes(world);
+        GroupSimulation simulation { options };
+        simulation.runFor(6s);
+        simulation.kill(0);
+        simulation.runFor(4s);
+        CHECK(simulation.promotions() <= 3);
+        checkGroupServes(simulation);
     }
 
     // The platform says that the primary's VM is leaving. Its work moves before
@@ -358,11 +361,11 @@
     {
         for (const std::size_t slots : { 2U, 3U }) {
             CAPTURE(slots);
-            auto world = servingWorld(slots);
-            world.setLeaving({ 0 });
-            world.runFor(2s);
-            CHECK(world.primaryIndex() != 0);
-            checkServes(world);
+            auto simulation = makeServingGroup(slots);
+            simulation.setLeaving({ 0 });
+            simulation.runFor(2s);
+            CHECK(simulation.primaryIndex() != 0);
+            checkGroupServes(simulation);
         }
     }
 
@@ -370,14 +373,14 @@
     // tell who is primary.
     TEST_CASE("the first record is made once, from what the slots say")
     {
-        GroupWorld world { { .slots = 2 } };
-        world.storeUp = false;
-        world.runFor(3s);
-        CHECK(world.viewOf(0).phase == GroupView::Phase::Unknown);
-        world.storeUp = true;
-        world.runFor(3s);
-        CHECK(world.record()->term == Term { 1 });
-        checkServes(world);
+        GroupSimulation simulation { { .slots = 2 } };
+        simulation.storeUp = false;
+        simulation.runFor(3s);
+        CHECK(simulation.viewOf(0).phase == GroupView::Phase::Unknown);
+        simulation.storeUp = true;
+        simulation.runFor(3s);
+        CHECK(simulation.record()->term == Term { 1 });
+        checkGroupServes(simulation);
     }
 
     // A home dies together with the primary, as when one host carries both.
@@ -385,12 +388,12 @@
     {
         for (const std::size_t slots : { 2U, 3U }) {
             CAPTURE(slots);
-            auto world = servingWorld(slots, 2);
-            world.kill(0);
-            world.killProxy(0);
-            world.runFor(5s);
-            CHECK(world.primaryIndex() != 0);
-            checkServes(world);
+            auto simulation = makeServingGroup(slots, 2);
+            simulation.kill(0);
+            simulation.killProxy(0);
+            simulation.runFor(5s);
+            CHECK(simulation.primaryIndex() != 0);
+            checkGroupServes(simulation);
         }
     }
 
@@ -398,12 +401,12 @@
     // reason to change anything.
     TEST_CASE("a healthy group keeps its primary, also when a home stops for a while")
     {
-        auto world = servingWorld(3);
-        world.pause(0, 4s);
-        world.runFor(5s);
-        cutFromSlots(world, 1, 3);
-        world.runFor(5s);
-        CHECK(world.promotions() == 1);
-        checkServes(world);
+        auto simulation = makeServingGroup(3);
+        simulation.pause(0, 4s);
+        simulation.runFor(5s);
+        cutFromSlots(simulation, 1, 3);
+        simulation.runFor(5s);
+        CHECK(simulation.promotions() == 1);
+        checkGroupServes(simulation);
     }
 }
--- a/tests/failover/group_world.cpp
+++ b/tests/failover/group_world.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-GroupWorld::GroupWorld(Options options)
+GroupSimulation::GroupSimulation(Options options)
     : options(std::move(options))
     , random(this->options.seed)
     , slots(this->options.slots)
@@ -26,14 +26,14 @@
     for (auto& slot : this->slots)
         slot.lag = this->options.replicaLag;
     this->slots[0].primary = true;
-    this->reigns.push_back({ .term = Term { 1 }, .slot = 0 });
+    this->primaryTerms.push_back({ .term = Term { 1 }, .slot = 0 });
     for (std::size_t index = 0; index < this->options.homes; ++index)
         this->startProxy(index);
     this->writeLoop();
     this->readLoop();
 }
 
-void GroupWorld::runFor(Duration duration)
+void GroupSimulation::runFor(Duration duration)
 {
     const auto end = this->clock + duration;
     while (!this->tasks.empty() && this->tasks.top().at <= end) {
@@ -47,18 +47,18 @@
 
 // Faults
 
-void GroupWorld::cut(Node one, Node other)
+void GroupSimulation::cut(Endpoint one, Endpoint other)
 {
-    this->cuts.insert({ std::min(one, other), std::max(one, other) });
+    this->cutLinks.insert({ std::min(one, other), std::max(one, other) });
 }
 
-void GroupWorld::heal(Node one, Node other)
+void GroupSimulation::heal(Endpoint one, Endpoint other)
 {
-    this->cuts.erase({ std::min(one, other), std::max(one, other) });
+    this->cutLinks.erase({ std::min(one, other), std::max(one, other) });
     this->replicateAll();
 }
 
-void GroupWorld::isolate(std::size_t index)
+void GroupSimulation::isolate(std::size_t index)
 {
     for (std::size_t other = 0; other < this->slots.size(); ++other) {
         if (other != index)
@@ -66,25 +66,25 @@
     }
 }
 
-void GroupWorld::kill(std::size_t slotIndex) { this->slots[slotIndex].alive = false; }
+void GroupSimulation::kill(std::size_t slotIndex) { this->slots[slotIndex].alive = false; }
 
-void GroupWorld::revive(std::size_t slotIndex)
+void GroupSimulation::revive(std::size_t slotIndex)
 {
     this->slots[slotIndex].alive = true;
     this->replicateAll();
 }
 
-void GroupWorld::pause(std::size_t proxyIndex, Duration duration)
+void GroupSimulation::pause(std::size_t proxyIndex, Duration duration)
 {
     this->proxies[proxyIndex].pausedUntil = this->clock + duration;
 }
 
-void GroupWorld::pauseBeforeNextOrder(std::size_t proxyIndex, Duration duration)
+void GroupSimulation::pauseBeforeNextOrder(std::size_t proxyIndex, Duration duration)
 {
     this->proxies[proxyIndex].pauseAtOrder = duration;
 }
 
-void GroupWorld::killProxy(std::size_t proxyIndex)
+void GroupSimulation::killProxy(std::size_t proxyIndex)
 {
     this->proxies[proxyIndex].alive = false;
     // Their connections break, so these sessions know that they must not wait.
@@ -96,7 +96,7 @@
     }
 }
 
-void GroupWorld::restartProxy(std::size_t proxyIndex)
+void GroupSimulation::restartProxy(std::size_t proxyIndex)
 {
     auto& proxy = this->proxies[proxyIndex];
     if (proxy.alive)
@@ -104,12 +104,12 @@
     proxy.alive = true;
     proxy.pausedUntil = {};
     proxy.pauseAtOrder = {};
-    ++proxy.life;
+    ++proxy.incarnation;
     if (proxyIndex < this->options.homes)
         this->startProxy(proxyIndex);
 }
 
-void GroupWorld::setLeaving(std::vector<std::size_t> slotIndices)
+void GroupSimulation::setLeaving(std::vector<std::size_t> slotIndices)
 {
     this->leaving = std::move(slotIndices);
     std::vector<SlotName> names;
@@ -117,13 +117,13 @@
         names.push_back(slotName(index));
     for (std::size_t index = 0; index < this->options.homes; ++index) {
         if (this->proxies[index].alive)
-            this->give(index, LeavingChanged { names });
+            this->deliver(index, LeavingSlotsChanged { names });
     }
 }
 
-void GroupWorld::healEverything()
+void GroupSimulation::healEverything()
 {
-    this->cuts.clear();
+    this->cutLinks.clear();
     this->storeUp = true;
     this->storeLosesAnswers = false;
     for (std::size_t index = 0; index < this->slots.size(); ++index) {
@@ -139,62 +139,62 @@
     this->replicateAll();
 }
 
-const GroupView& GroupWorld::viewOf(std::size_t proxyIndex) const
+const GroupView& GroupSimulation::viewOf(std::size_t proxyIndex) const
 {
     return this->proxies[proxyIndex].coordinator->view();
 }
 
-std::optional<GroupRecord> GroupWorld::record() const
+std::optional<GroupRecord> GroupSimulation::record() const
 {
-    if (!this->stored)
+    if (!this->storedRecord)
         return std::nullopt;
-    return this->stored->record;
+    return this->storedRecord->record;
 }
 
-std::size_t GroupWorld::primaryIndex() const { return this->reigns.back().slot; }
+std::size_t GroupSimulation::primaryIndex() const { return this->primaryTerms.back().slot; }
 
-bool GroupWorld::acknowledgedSince(Instant instant) const
+bool GroupSimulation::acknowledgedSince(Instant instant) const
 {
-    return std::any_of(this->acks.begin(), this->acks.end(),
+    return std::any_of(this->acknowledgedWrites.begin(), this->acknowledgedWrites.end(),
         [&](const Acknowledged& acknowledged) { return acknowledged.sentAt >= instant; });
 }
 
 // The network
 
-void GroupWorld::at(Instant when, Task task)
+void GroupSimulation::at(Instant when, Task task)
 {
     this->tasks.push(
         { .at = std::max(when, this->clock), .order = ++this->lastOrder, .task = std::move(task) });
 }
 
-bool GroupWorld::linked(Node one, Node other) const
+bool GroupSimulation::isLinked(Endpoint one, Endpoint other) const
 {
-    return !this->cuts.contains({ std::min(one, other), std::max(one, other) });
+    return !this->cutLinks.contains({ std::min(one, other), std::max(one, other) });
 }
 
-Duration GroupWorld::delay()
+Duration GroupSimulation::networkLatency()
 {
     std::uniform_int_distribution<int> micros { 900, 1200 };
     return std::chrono::microseconds { micros(this->random) };
 }
 
 /// Runs a task in a proxy, after its pause if it is paused; never in a later life of it.
-void GroupWorld::atProxy(std::size_t index, Task task)
+void GroupSimulation::runOnProxy(std::size_t index, Task task)
 {
-    const auto life = this->proxies[index].life;
+    const auto incarnation = this->proxies[index].incarnation;
     const auto when = std::max(this->clock, this->proxies[index].pausedUntil);
-    this->at(when, [this, index, life, task = std::move(task)] {
+    this->at(when, [this, index, incarnation, task = std::move(task)] {
         const auto& proxy = this->proxies[index];
-        if (!proxy.alive || proxy.life != life)
+        if (!proxy.alive || proxy.incarnation != incarnation)
             return;
         if (proxy.pausedUntil > this->clock)
-            this->atProxy(index, task);
+            this->runOnProxy(index, task);
         else
             task();
     });
 }
 
-void GroupWorld::fromProxy(std::size_t index, bool isOrder, Task task)
+void GroupSimulation::sendFromProxy(std::size_t index, bool isOrder, Task task)
 {
     auto& proxy = this->proxies[index];
     if (isOrder && proxy.pauseAtOrder > Duration::zero()) {
@@ -204,18 +204,18 @@
     if (proxy.pausedUntil <= this->clock)
         task();
     else
-        this->atProxy(index, std::move(task));
+        this->runOnProxy(index, std::move(task));
 }
 
-void GroupWorld::callSlot(std::size_t proxyIndex, std::size_t slotIndex, bool isOrder,
-    std::function<bool(ModelSlot&)> operation,
+void GroupSimulation::callSlot(std::size_t proxyIndex, std::size_t slotIndex, bool isOrder,
+    std::function<bool(SimulatedSlot&)> operation,
     std::function<void(std::optional<StatusSample>, bool done)> answer)
 {
     const auto askedAt = this->clock;
     const auto settled = std::make_shared<bool>(false);
     const auto settle = [this, proxyIndex, settled, answer = std::move(answer)](
                             std::optional<StatusSample> sample, bool done) {
-        this->atProxy(proxyIndex, [this, settled, answer, sample, done]() mutable {
+        this->runOnProxy(proxyIndex, [this, settled, answer, sample, done]() mutable {
             if (std::exchange(*settled, true))
                 return;
             if (sample)
@@ -225,43 +225,43 @@
     };
     const auto arrive = [this, proxyIndex, slotIndex, askedAt, settle, operation = std::move(operation)] {
         auto& target = this->slots[slotIndex];
-        if (!target.alive || !this->linked(proxy(proxyIndex), slot(slotIndex)))
+        if (!target.alive || !this->isLinked(proxy(proxyIndex), slot(slotIndex)))
             return;
         const bool done = operation(target);
         const StatusSample sample {
             .slot = slotName(slotIndex), .status = target.status(), .askedAt = askedAt, .receivedAt = {}
         };
-        this->at(this->clock + this->delay(), [this, proxyIndex, slotIndex, settle, sample, done] {
-            if (this->slots[slotIndex].alive && this->linked(proxy(proxyIndex), slot(slotIndex)))
+        this->at(this->clock + this->networkLatency(), [this, proxyIndex, slotIndex, settle, sample, done] {
+            if (this->slots[slotIndex].alive && this->isLinked(proxy(proxyIndex), slot(slotIndex)))
                 settle(sample, done);
         });
     };
-    this->fromProxy(proxyIndex, isOrder, [this, settle, arrive] {
-        this->at(this->clock + this->delay(), arrive);
+    this->sendFromProxy(proxyIndex, isOrder, [this, settle, arrive] {
+        this->at(this->clock + this->networkLatency(), arrive);
         this->at(this->clock + callTimeout, [settle] { settle(std::nullopt, false); });
     });
 }
 
 /// A store that loses answers may also take up a call late, after its caller has given up.
-void GroupWorld::callStore(
+void GroupSimulation::callStore(
     std::size_t proxyIndex, bool isOrder, Task effect, std::function<void(bool answered)> answer)
 {
-    this->fromProxy(proxyIndex, isOrder, [this, proxyIndex, effect, answer] {
+    this->sendFromProxy(proxyIndex, isOrder, [this, proxyIndex, effect, answer] {
         const auto settled = std::make_shared<bool>(false);
         const auto settle = [this, proxyIndex, settled, answer](bool answered) {
-            this->atProxy(proxyIndex, [settled, answer, answered] {
+            this->runOnProxy(proxyIndex, [settled, answer, answered] {
                 if (!std::exchange(*settled, true))
                     answer(answered);
             });
         };
         const bool loses = this->storeLosesAnswers && this->random() % 2 == 0;
         const auto late = loses && this->random() % 4 == 0 ? Duration { 900ms } : Duration {};
-        this->at(this->clock + this->delay() + late, [this, proxyIndex, effect, settle, loses] {
-            if (!this->storeUp || !this->linked(proxy(proxyIndex), store()))
+        this->at(this->clock + this->networkLatency() + late, [this, proxyIndex, effect, settle, loses] {
+            if (!this->storeUp || !this->isLinked(proxy(proxyIndex), store()))
                 return;
             effect();
-            this->at(this->clock + this->delay(), [this, proxyIndex, settle, loses] {
-                if (!loses && this->linked(proxy(proxyIndex), store()))
+            this->at(this->clock + this->networkLatency(), [this, proxyIndex, settle, loses] {
+                if (!loses && this->isLinked(proxy(proxyIndex), store()))
                     settle(true);
             });
         });
@@ -269,18 +269,18 @@
     });
 }
 
-void GroupWorld::replicate(std::size_t index)
+void GroupSimulation::replicate(std::size_t index)
 {
     auto& replica = this->slots[index];
     const auto& source = this->slots[replica.following];
-    if (replica.following == index || !replica.mayPullFrom(source)
-        || !this->linked(slot(index), slot(replica.following)))
+    if (replica.following == index || !replica.canReplicateFrom(source)
+        || !this->isLinked(slot(index), slot(replica.following)))
         return;
-    if (const auto next = replica.pullFrom(source, this->clock))
+    if (const auto next = replica.replicateFrom(source, this->clock))
         this->at(*next, [this, index] { this->replicate(index); });
 }
 
-void GroupWorld::replicateAll()
+void GroupSimulation::replicateAll()
 {
     for (std::size_t index = 0; index < this->slots.size(); ++index)
         this->at(this->clock + this->slots[index].lag, [this, index] { this->replicate(index); });
@@ -288,20 +288,20 @@
 
 // The proxies
 
-void GroupWorld::startProxy(std::size_t index)
+void GroupSimulation::startProxy(std::size_t index)
 {
     auto& proxy = this->proxies[index];
     std::vector<SlotName> names;
     for (std::size_t slot = 0; slot < this->slots.size(); ++slot)
         names.push_back(slotName(slot));
     proxy.acknowledgements = {};
-    proxy.waiting.clear();
-    proxy.held.clear();
+    proxy.pendingConfirmations.clear();
+    proxy.heldTasks.clear();
     proxy.polling = false;
     proxy.tracker
         = std::make_unique<ReplicaTracker>(ReplicaTracker::Options { .patience = this->options.patience });
     proxy.coordinator = std::make_unique<FailoverCoordinator>(FailoverCoordinator::Options {
-        .vm = VmName { "vm" + std::to_string(index) + '.' + std::to_string(proxy.life) },
+        .vm = VmName { "vm" + std::to_string(index) + '.' + std::to_string(proxy.incarnation) },
         .slots = names,
         .rank = index,
         .settings = this->options.settings,
@@ -310,44 +310,44 @@
     this->tick(index);
 }
 
-void GroupWorld::tick(std::size_t index)
+void GroupSimulation::tick(std::size_t index)
 {
     this->perform(index, this->proxies[index].coordinator->tick(this->clock));
     this->settle(index);
-    this->at(this->clock + tickInterval, [this, index, life = this->proxies[index].life] {
-        if (this->proxies[index].life == life)
-            this->atProxy(index, [this, index] { this->tick(index); });
+    this->at(this->clock + tickInterval, [this, index, incarnation = this->proxies[index].incarnation] {
+        if (this->proxies[index].incarnation == incarnation)
+            this->runOnProxy(index, [this, index] { this->tick(index); });
     });
 }
 
-void GroupWorld::give(std::size_t index, const FailoverEvent& event)
+void GroupSimulation::deliver(std::size_t index, const FailoverEvent& event)
 {
     this->perform(index, this->proxies[index].coordinator->handle(event, this->clock));
     if (this->random() % 100 >= this->options.duplicatesInHundred)
         return;
     this->at(this->clock + std::chrono::milliseconds { this->random() % 600 }, [this, index, event] {
-        this->atProxy(index, [this, index, event] {
+        this->runOnProxy(index, [this, index, event] {
             this->perform(index, this->proxies[index].coordinator->handle(event, this->clock));
         });
     });
 }
 
-void GroupWorld::perform(std::size_t index, const FailoverActions& actions)
+void GroupSimulation::perform(std::size_t index, const FailoverActions& actions)
 {
     struct Performer {
-        GroupWorld& world;
+        GroupSimulation& simulation;
         std::size_t index;
 
         void operator()(const ProbeSlot& action) const
         {
-            this->world.order(
-                this->index, action.slot, [](ModelSlot&) { return true; }, false);
+            this->simulation.order(
+                this->index, action.slot, [](SimulatedSlot&) { return true; }, false);
         }
         void operator()(const FenceSlot& action) const
         {
-            this->world.order(
+            this->simulation.order(
                 this->index, action.slot,
-                [term = action.term](ModelSlot& slot) {
+                [term = action.term](SimulatedSlot& slot) {
                     slot.fence(term);
                     return true;
                 },
@@ -355,81 +355,84 @@
         }
         void operator()(const PromoteSlot& action) const
         {
-            auto& world = this->world;
-            const auto slotIndex = world.indexOf(action.slot);
-            world.order(
+            auto& simulation = this->simulation;
+            const auto slotIndex = simulation.indexOf(action.slot);
+            simulation.order(
                 this->index, action.slot,
-                [&world, slotIndex, term = action.term](ModelSlot& slot) {
+                [&simulation, slotIndex, term = action.term](SimulatedSlot& slot) {
                     const bool before = slot.primary;
-                    const bool done = slot.promote(term, world.clock);
+                    const bool done = slot.promote(term, simulation.clock);
                     if (done && !before)
-                        world.notePromotion(slotIndex, term);
+                        simulation.recordPromotion(slotIndex, term);
                     return done;
                 },
                 true);
         }
         void operator()(const FollowPrimary& action) const
         {
-            auto& world = this->world;
-            const auto primary = world.indexOf(action.primary);
-            world.order(
+            auto& simulation = this->simulation;
+            const auto primary = simulation.indexOf(action.primary);
+            simulation.order(
                 this->index, action.slot,
-                [&world, primary, term = action.term](ModelSlot& slot) {
+                [&simulation, primary, term = action.term](SimulatedSlot& slot) {
                     const bool done = slot.follow(term, primary);
-                    world.replicateAll();
+                    simulation.replicateAll();
                     return done;
                 },
                 true);
         }
-        void operator()(const AskSiblings& action) const { this->world.performAsk(this->index, action.slot); }
-        void operator()(const ReadRecord&) const { this->world.performRead(this->index); }
-        void operator()(const SwapRecord& action) const { this->world.performSwap(this->index, action); }
+        void operator()(const AskSiblings& action) const
+        {
+            this->simulation.askSiblings(this->index, action.slot);
+        }
+        void operator()(const ReadRecord&) const { this->simulation.readRecord(this->index); }
+        void operator()(const SwapRecord& action) const { this->simulation.swapRecord(this->index, action); }
         void operator()(const PublishView& action) const
         {
-            this->world.performPublish(this->index, action.view);
+            this->simulation.publishView(this->index, action.view);
         }
     };
     for (const auto& action : actions)
         std::visit(Performer { *this, index }, action);
 }
 
-void GroupWorld::order(
-    std::size_t index, const SlotName& name, std::function<bool(ModelSlot&)> what, bool isOrder)
+void GroupSimulation::order(
+    std::size_t index, const SlotName& name, std::function<bool(SimulatedSlot&)> what, bool isOrder)
 {
     this->callSlot(index, this->indexOf(name), isOrder, std::move(what),
         [this, index, name](const std::optional<StatusSample>& sample, bool done) {
             if (!sample) {
-                this->give(index, SlotSilent { name });
+                this->deliver(index, SlotUnreachable { name });
                 return;
             }
             this->observe(index, *sample);
             if (done)
-                this->give(index, SlotAnswered { *sample });
+                this->deliver(index, SlotAnswered { *sample });
             else
-                this->give(index, SlotRefused { name });
+                this->deliver(index, SlotRefused { name });
         });
 }
 
-void GroupWorld::performAsk(std::size_t index, const SlotName& name)
+void GroupSimulation::askSiblings(std::size_t index, const SlotName& name)
 {
     const auto answer = std::make_shared<SiblingsAnswered>(
         SiblingsAnswered { .slot = name, .askedAt = this->clock, .asked = this->proxies.size() - 1 });
     const auto given = std::make_shared<bool>(false);
     const auto finish = [this, index, answer, given] {
-        this->atProxy(index, [this, index, answer, given] {
+        this->runOnProxy(index, [this, index, answer, given] {
             if (!std::exchange(*given, true))
-                this->give(index, *answer);
+                this->deliver(index, *answer);
         });
     };
     for (std::size_t other = 0; other < this->proxies.size(); ++other) {
-        if (other == index || !this->proxies[other].alive || !this->linked(proxy(index), proxy(other)))
+        if (other == index || !this->proxies[other].alive || !this->isLinked(proxy(index), proxy(other)))
             continue;
-        this->at(this->clock + this->delay(), [this, index, other, name, answer, finish] {
-            this->atProxy(other, [this, index, other, name, answer, finish] {
+        this->at(this->clock + this->networkLatency(), [this, index, other, name, answer, finish] {
+            this->runOnProxy(other, [this, index, other, name, answer, finish] {
                 this->callSlot(
-                    other, this->indexOf(name), false, [](ModelSlot&) { return true; },
+                    other, this->indexOf(name), false, [](SimulatedSlot&) { return true; },
                     [this, index, other, answer, finish](const std::optional<StatusSample>& sample, bool) {
-                        if (!this->linked(proxy(index), proxy(other)))
+                        if (!this->isLinked(proxy(index), proxy(other)))
                             return;
                         SlotOpinion opinion { .vm = VmName { std::to_string(other) },
                             .reachable = sample.has_value() };
@@ -445,50 +448,50 @@
     this->at(this->clock + callTimeout + 50ms, finish);
 }
 
-void GroupWorld::performRead(std::size_t index)
+void GroupSimulation::readRecord(std::size_t index)
 {
-    const auto read = std::make_shared<std::optional<RevisedRecord>>();
+    const auto read = std::make_shared<std::optional<VersionedRecord>>();
     this->callStore(
-        index, false, [this, read] { *read = this->stored; },
+        index, false, [this, read] { *read = this->storedRecord; },
         [this, index, read](bool answered) {
             if (answered)
-                this->give(index, RecordRead { *read });
+                this->deliver(index, RecordRead { *read });
             else
-                this->give(index, RecordUnavailable {});
+                this->deliver(index, RecordReadFailed {});
         });
 }
 
-void GroupWorld::performSwap(std::size_t index, const SwapRecord& swap)
+void GroupSimulation::swapRecord(std::size_t index, const SwapRecord& swap)
 {
     if (!swap.record.isSettled())
-        this->times.claimed = this->clock;
-    else if (this->stored && swap.record.servingTerm != this->stored->record.servingTerm)
-        this->times.chosen = this->clock;
+        this->failoverTimeline.claimed = this->clock;
+    else if (this->storedRecord && swap.record.servingTerm != this->storedRecord->record.servingTerm)
+        this->failoverTimeline.chosen = this->clock;
     struct Result {
         bool swapped = false;
-        std::optional<RevisedRecord> current;
+        std::optional<VersionedRecord> current;
     };
     const auto result = std::make_shared<Result>();
     const auto effect = [this, swap, result] {
-        const auto revision = this->stored ? this->stored->revision : 0;
+        const auto revision = this->storedRecord ? this->storedRecord->revision : 0;
         result->swapped = revision == swap.expectedRevision;
         if (result->swapped) {
-            this->stored = RevisedRecord { .record = GroupRecord::decode(swap.record.encode()),
+            this->storedRecord = VersionedRecord { .record = GroupRecord::decode(swap.record.encode()),
                 .revision = revision + 1 };
         }
-        result->current = this->stored;
+        result->current = this->storedRecord;
     };
     this->callStore(index, true, effect, [this, index, result, id = swap.record.changeId](bool answered) {
         if (!answered)
-            this->give(index, RecordSwapUnanswered { id });
+            this->deliver(index, RecordSwapUnanswered { id });
         else if (result->swapped)
-            this->give(index, RecordSwapped { id, result->current->revision });
+            this->deliver(index, RecordSwapped { id, result->current->revision });
         else
-            this->give(index, RecordConflict { id, result->current });
+            this->deliver(index, RecordConflict { id, result->current });
     });
 }
 
-void GroupWorld::performPublish(std::size_t index, const GroupView& view)
+void GroupSimulation::publishView(std::size_t index, const GroupView& view)
 {
     auto& proxy = this->proxies[index];
     proxy.acknowledgements.setView(view);
@@ -496,34 +499,34 @@
     this->settle(index);
     if (view.phase != GroupView::Phase::Serving)
         return;
-    if (!this->times.serving || this->times.chosen > this->times.serving)
-        this->times.serving = this->clock;
-    for (auto& task : std::exchange(proxy.held, {}))
-        this->atProxy(index, std::move(task));
+    if (!this->failoverTimeline.serving || this->failoverTimeline.chosen > this->failoverTimeline.serving)
+        this->failoverTimeline.serving = this->clock;
+    for (auto& task : std::exchange(proxy.heldTasks, {}))
+        this->runOnProxy(index, std::move(task));
 }
 
-void GroupWorld::observe(std::size_t index, const StatusSample& sample)
+void GroupSimulation::observe(std::size_t index, const StatusSample& sample)
 {
     this->proxies[index].acknowledgements.observe(sample);
     this->proxies[index].tracker->observe(sample);
     this->settle(index);
 }
 
-void GroupWorld::settle(std::size_t index)
+void GroupSimulation::settle(std::size_t index)
 {
     auto& proxy = this->proxies[index];
     const auto settled = proxy.acknowledgements.take(this->clock);
     for (const auto ticket : settled.confirmed) {
-        if (auto node = proxy.waiting.extract(ticket))
+        if (auto node = proxy.pendingConfirmations.extract(ticket))
             node.mapped().onConfirmed();
     }
     for (const auto ticket : settled.givenUp) {
-        if (auto node = proxy.waiting.extract(ticket))
+        if (auto node = proxy.pendingConfirmations.extract(ticket))
             node.mapped().onGivenUp();
     }
 }
 
-std::size_t GroupWorld::indexOf(const SlotName& name) const
+std::size_t GroupSimulation::indexOf(const SlotName& name) const
 {
     for (std::size_t index = 0; index < this->slots.size(); ++index) {
         if (slotName(index) == name)
--- a/tests/failover/group_world.h
+++ b/tests/failover/group_world.h
@@ -20,7 +20,7 @@
 
 /// One database group, the store and a few proxies in virtual time, with the network between them and
 /// sessions that write and read. It keeps its own account of what was acknowledged and notes every breach.
-class GroupWorld {
+class GroupSimulation {
 public:
     struct Options {
         std::size_t slots = 3;
@@ -41,11 +41,11 @@
         cyclamendrift::FailoverSettings settings;
     };
     /// An end of a link.
-    struct Node {
+    struct Endpoint {
         enum class Kind : std::uint8_t { Proxy, Slot, Store };
         Kind kind = Kind::Store;
         std::size_t index = 0;
-        friend auto operator<=>(const Node&, const Node&) = default;
+        friend auto operator<=>(const Endpoint&, const Endpoint&) = default;
     };
     /// When a failover reached its steps; the last of each.
     struct Timeline {
@@ -65,15 +65,15 @@
         std::vector<cyclamendrift::Duration> took;
     };
 
-    explicit GroupWorld(Options options);
+    explicit GroupSimulation(Options options);
 
-    static Node proxy(std::size_t index) { return { Node::Kind::Proxy, index }; }
-    static Node slot(std::size_t index) { return { Node::Kind::Slot, index }; }
-    static Node store() { return {}; }
+    static Endpoint proxy(std::size_t index) { return { Endpoint::Kind::Proxy, index }; }
+    static Endpoint slot(std::size_t index) { return { Endpoint::Kind::Slot, index }; }
+    static Endpoint store() { return {}; }
 
     void runFor(cyclamendrift::Duration duration);
-    void cut(Node one, Node other);
-    void heal(Node one, Node other);
+    void cut(Endpoint one, Endpoint other);
+    void heal(Endpoint one, Endpoint other);
     /// Cuts a slot from the other slots.
     void isolate(std::size_t index);
     void kill(std::size_t slotIndex);
@@ -91,15 +91,15 @@
     /// Lets the sessions write and read.
     bool workload = true;
 
-    [[nodiscard]] const std::vector<std::string>& breaches() const { return this->breachList; }
-    [[nodiscard]] const std::vector<Acknowledged>& acknowledged() const { return this->acks; }
+    [[nodiscard]] const std::vector<std::string>& violations() const { return this->violationList; }
+    [[nodiscard]] const std::vector<Acknowledged>& acknowledged() const { return this->acknowledgedWrites; }
     [[nodiscard]] const ReadCounts& reads() const { return this->readCounts; }
-    [[nodiscard]] const Timeline& timeline() const { return this->times; }
+    [[nodiscard]] const Timeline& timeline() const { return this->failoverTimeline; }
     [[nodiscard]] cyclamendrift::Instant now() const { return this->clock; }
-    [[nodiscard]] ModelSlot& slotAt(std::size_t index) { return this->slots[index]; }
+    [[nodiscard]] SimulatedSlot& slotAt(std::size_t index) { return this->slots[index]; }
     [[nodiscard]] const cyclamendrift::GroupView& viewOf(std::size_t proxyIndex) const;
     [[nodiscard]] std::optional<cyclamendrift::GroupRecord> record() const;
-    [[nodiscard]] std::size_t promotions() const { return this->reigns.size(); }
+    [[nodiscard]] std::size_t promotions() const { return this->primaryTerms.size(); }
     /// Index of the slot that reigns last.
     [[nodiscard]] std::size_t primaryIndex() const;
     /// True when a write that was sent after an instant has been acknowledged.
@@ -129,7 +129,7 @@
         std::size_t session = 0;
         std::uint64_t operation = 0;
     };
-    struct Waiting {
+    struct PendingConfirmation {
         std::function<void()> onConfirmed;
         std::function<void()> onGivenUp;
     };
@@ -137,27 +137,27 @@
         std::unique_ptr<cyclamendrift::FailoverCoordinator> coordinator;
         cyclamendrift::Acknowledgements acknowledgements;
         std::unique_ptr<cyclamendrift::ReplicaTracker> tracker;
-        std::map<cyclamendrift::ConfirmationTicket, Waiting> waiting;
-        std::deque<Task> held;
+        std::map<cyclamendrift::ConfirmationTicket, PendingConfirmation> pendingConfirmations;
+        std::deque<Task> heldTasks;
         cyclamendrift::Instant pausedUntil;
         cyclamendrift::Duration pauseAtOrder {};
         bool polling = false;
         bool alive = true;
-        unsigned life = 0;
+        unsigned incarnation = 0;
     };
-    struct Reign {
+    struct PrimaryTerm {
         cyclamendrift::Term term {};
         std::size_t slot = 0;
     };
 
     // The network.
     void at(cyclamendrift::Instant when, Task task);
-    [[nodiscard]] bool linked(Node one, Node other) const;
-    cyclamendrift::Duration delay();
-    void atProxy(std::size_t index, Task task);
-    void fromProxy(std::size_t index, bool isOrder, Task task);
+    [[nodiscard]] bool isLinked(Endpoint one, Endpoint other) const;
+    cyclamendrift::Duration networkLatency();
+    void runOnProxy(std::size_t index, Task task);
+    void sendFromProxy(std::size_t index, bool isOrder, Task task);
     void callSlot(std::size_t proxyIndex, std::size_t slotIndex, bool isOrder,
-        std::function<bool(ModelSlot&)> operation,
+        std::function<bool(SimulatedSlot&)> operation,
         std::function<void(std::optional<cyclamendrift::StatusSample>, bool done)> answer);
     void callStore(
         std::size_t proxyIndex, bool isOrder, Task effect, std::function<void(bool answered)> answer);
@@ -167,14 +167,14 @@
     // The proxies.
     void startProxy(std::size_t index);
     void tick(std::size_t index);
-    void give(std::size_t index, const cyclamendrift::FailoverEvent& event);
+    void deliver(std::size_t index, const cyclamendrift::FailoverEvent& event);
     void perform(std::size_t index, const cyclamendrift::FailoverActions& actions);
-    void order(std::size_t index, const cyclamendrift::SlotName& name, std::function<bool(ModelSlot&)> what,
-        bool isOrder);
-    void performAsk(std::size_t index, const cyclamendrift::SlotName& name);
-    void performRead(std::size_t index);
-    void performSwap(std::size_t index, const cyclamendrift::SwapRecord& swap);
-    void performPublish(std::size_t index, const cyclamendrift::GroupView& view);
+    void order(std::size_t index, const cyclamendrift::SlotName& name,
+        std::function<bool(SimulatedSlot&)> what, bool isOrder);
+    void askSiblings(std::size_t index, const cyclamendrift::SlotName& name);
+    void readRecord(std::size_t index);
+    void swapRecord(std::size_t index, const cyclamendrift::SwapRecord& swap);
+    void publishView(std::size_t index, const cyclamendrift::GroupView& view);
     void observe(std::size_t index, const cyclamendrift::StatusSample& sample);
     void settle(std::size_t index);
     [[nodiscard]] std::size_t indexOf(const cyclamendrift::SlotName& name) const;
@@ -184,8 +184,8 @@
     void readLoop();
     void poll(std::size_t proxyIndex);
     void pollReplicas(std::size_t proxyIndex);
-    void awaitConfirmation(
-        std::size_t proxyIndex, const cyclamendrift::Acknowledgements::Options& options, Waiting waiting);
+    void awaitConfirmation(std::size_t proxyIndex, const cyclamendrift::Acknowledgements::Options& options,
+        PendingConfirmation pendingConfirmations);
     void write(std::size_t proxyIndex, Caller caller);
     void writeUntil(std::size_t proxyIndex, Caller caller, cyclamendrift::Instant sentAt,
         cyclamendrift::Instant deadline);
@@ -195,28 +195,28 @@
         const cyclamendrift::SlotName& name, bool onPrimary);
     std::optional<Caller> beginOperation(std::size_t home);
     void endOperation(Caller caller);
-    void noteAcknowledged(
+    void recordAcknowledgedWrite(
         Caller caller, std::uint64_t write, cyclamendrift::Instant sentAt, cyclamendrift::Progress progress);
-    void noteRead(Caller caller, const cyclamendrift::Access& access, cyclamendrift::Instant sentAt,
+    void checkRead(Caller caller, const cyclamendrift::Access& access, cyclamendrift::Instant sentAt,
         const std::set<std::uint64_t>& rows, cyclamendrift::Progress seen);
-    void notePromotion(std::size_t slotIndex, cyclamendrift::Term term);
-    void breach(std::string what);
+    void recordPromotion(std::size_t slotIndex, cyclamendrift::Term term);
+    void recordViolation(std::string what);
 
     Options options;
     cyclamendrift::RandomSource random;
     cyclamendrift::Instant clock { std::chrono::seconds { 1000 } };
     std::uint64_t lastOrder = 0;
     std::priority_queue<Scheduled> tasks;
-    std::set<std::pair<Node, Node>> cuts;
-    std::vector<ModelSlot> slots;
+    std::set<std::pair<Endpoint, Endpoint>> cutLinks;
+    std::vector<SimulatedSlot> slots;
     std::vector<Proxy> proxies;
     std::vector<Session> sessions;
-    std::optional<cyclamendrift::RevisedRecord> stored;
+    std::optional<cyclamendrift::VersionedRecord> storedRecord;
     std::vector<std::size_t> leaving;
-    std::uint64_t lastWrite = ModelSlot::noWrite;
-    std::vector<Acknowledged> acks;
-    std::vector<Reign> reigns;
-    std::vector<std::string> breachList;
+    std::uint64_t lastWriteId = SimulatedSlot::noWriteId;
+    std::vector<Acknowledged> acknowledgedWrites;
+    std::vector<PrimaryTerm> primaryTerms;
+    std::vector<std::string> violationList;
     ReadCounts readCounts;
-    Timeline times;
+    Timeline failoverTimeline;
 };
--- a/tests/failover/group_world_sessions.cpp
+++ b/tests/failover/group_world_sessions.cpp
@@ -14,11 +14,11 @@
 constexpr Duration confirmationDeadline = 1s;
 constexpr Duration staleness = 1s;
 
-std::set<std::uint64_t> rowsOf(const ModelSlot& slot)
+std::set<std::uint64_t> rowsOf(const SimulatedSlot& slot)
 {
     std::set<std::uint64_t> rows;
     for (const auto& record : slot.log) {
-        if (record.write != ModelSlot::noWrite)
+        if (record.write != SimulatedSlot::noWriteId)
             rows.insert(record.write);
     }
     return rows;
@@ -26,7 +26,7 @@
 
 } // namespace
 
-std::optional<GroupWorld::Caller> GroupWorld::beginOperation(std::size_t home)
+std::optional<GroupSimulation::Caller> GroupSimulation::beginOperation(std::size_t home)
 {
     const auto index = this->random() % this->sessions.size();
     auto& session = this->sessions[index];
@@ -39,7 +39,7 @@
     return caller;
 }
 
-void GroupWorld::endOperation(Caller caller)
+void GroupSimulation::endOperation(Caller caller)
 {
     auto& session = this->sessions[caller.session];
     if (session.operation != caller.operation)
@@ -48,45 +48,46 @@
     ++session.operation;
 }
 
-void GroupWorld::writeLoop()
+void GroupSimulation::writeLoop()
 {
     const auto home = this->random() % this->options.homes;
     if (const auto caller = this->beginOperation(home))
-        this->atProxy(home, [this, home, caller] { this->write(home, *caller); });
+        this->runOnProxy(home, [this, home, caller] { this->write(home, *caller); });
     this->at(this->clock + this->options.writeInterval, [this] { this->writeLoop(); });
 }
 
-void GroupWorld::readLoop()
+void GroupSimulation::readLoop()
 {
     const auto home = this->random() % this->options.homes;
     const std::array<Access, 4> kinds { SessionRead {}, SessionRead {}, BoundedRead { staleness },
         PrimaryRead {} };
     const auto access = kinds[this->random() % kinds.size()];
     if (const auto caller = this->beginOperation(home)) {
-        this->atProxy(home, [this, home, caller, access] { this->read(home, *caller, access, this->clock); });
+        this->runOnProxy(
+            home, [this, home, caller, access] { this->read(home, *caller, access, this->clock); });
     }
     this->at(this->clock + this->options.readInterval, [this] { this->readLoop(); });
 }
 
-void GroupWorld::poll(std::size_t proxyIndex)
+void GroupSimulation::poll(std::size_t proxyIndex)
 {
     auto& proxy = this->proxies[proxyIndex];
-    proxy.polling = !proxy.waiting.empty();
+    proxy.polling = !proxy.pendingConfirmations.empty();
     if (!proxy.polling)
         return;
     this->pollReplicas(proxyIndex);
     this->at(this->clock + pollInterval,
-        [this, proxyIndex] { this->atProxy(proxyIndex, [this, proxyIndex] { this->poll(proxyIndex); }); });
+        [this, proxyIndex] { this->runOnProxy(proxyIndex, [this, proxyIndex] { this->poll(proxyIndex); }); });
 }
 
-void GroupWorld::pollReplicas(std::size_t proxyIndex)
+void GroupSimulation::pollReplicas(std::size_t proxyIndex)
 {
     const auto primary = this->viewOf(proxyIndex).primary;
     for (std::size_t index = 0; index < this->slots.size(); ++index) {
         if (index == this->indexOf(primary))
             continue;
         this->callSlot(
-            proxyIndex, index, false, [](ModelSlot&) { return true; },
+            proxyIndex, index, false, [](SimulatedSlot&) { return true; },
             [this, proxyIndex](const std::optional<StatusSample>& sample, bool) {
                 if (sample)
                     this->observe(proxyIndex, *sample);
@@ -94,23 +95,23 @@
     }
 }
 
-void GroupWorld::awaitConfirmation(
-    std::size_t proxyIndex, const Acknowledgements::Options& options, Waiting waiting)
+void GroupSimulation::awaitConfirmation(std::size_t proxyIndex, const Acknowledgements::Options& options,
+    PendingConfirmation pendingConfirmations)
 {
     auto& proxy = this->proxies[proxyIndex];
     const auto ticket = proxy.acknowledgements.add(options);
-    proxy.waiting.emplace(ticket, std::move(waiting));
+    proxy.pendingConfirmations.emplace(ticket, std::move(pendingConfirmations));
     this->settle(proxyIndex);
     if (!proxy.polling)
         this->poll(proxyIndex);
 }
 
-void GroupWorld::write(std::size_t proxyIndex, Caller caller)
+void GroupSimulation::write(std::size_t proxyIndex, Caller caller)
 {
     this->writeUntil(proxyIndex, caller, this->clock, this->clock + this->options.callerTimeout);
 }
 
-void GroupWorld::writeUntil(std::size_t proxyIndex, Caller caller, Instant sentAt, Instant deadline)
+void GroupSimulation::writeUntil(std::size_t proxyIndex, Caller caller, Instant sentAt, Instant deadline)
 {
     auto& proxy = this->proxies[proxyIndex];
     const auto again = [this, proxyIndex, caller, sentAt, deadline] {
@@ -121,14 +122,14 @@
         return;
     }
     if (this->viewOf(proxyIndex).phase != GroupView::Phase::Serving) {
-        proxy.held.emplace_back(again);
+        proxy.heldTasks.emplace_back(again);
         return;
     }
-    const auto write = ++this->lastWrite;
+    const auto write = ++this->lastWriteId;
     const auto target = this->indexOf(this->viewOf(proxyIndex).primary);
     this->callSlot(
         proxyIndex, target, true,
-        [this, write](ModelSlot& slot) {
+        [this, write](SimulatedSlot& slot) {
             const bool done = slot.write(write, this->clock);
             if (done)
                 this->replicateAll();
@@ -142,19 +143,21 @@
             }
             this->observe(proxyIndex, *sample);
             if (!done) {
-                this->at(this->clock + 50ms, [this, proxyIndex, again] { this->atProxy(proxyIndex, again); });
+                this->at(
+                    this->clock + 50ms, [this, proxyIndex, again] { this->runOnProxy(proxyIndex, again); });
                 return;
             }
             const auto progress = sample->status.progress;
             const auto until = this->clock + confirmationDeadline;
             this->awaitConfirmation(proxyIndex, Acknowledgements::afterCommit(sample->status, until),
-                { .onConfirmed = [this, caller, write, sentAt,
-                                     progress] { this->noteAcknowledged(caller, write, sentAt, progress); },
+                { .onConfirmed
+                    = [this, caller, write, sentAt,
+                          progress] { this->recordAcknowledgedWrite(caller, write, sentAt, progress); },
                     .onGivenUp = [this, caller] { this->endOperation(caller); } });
         });
 }
 
-void GroupWorld::read(std::size_t proxyIndex, Caller caller, const Access& access, Instant begunAt)
+void GroupSimulation::read(std::size_t proxyIndex, Caller caller, const Access& access, Instant begunAt)
 {
     const ReplicaTracker::Request request {
         .access = access, .seen = this->sessions[caller.session].seen, .arrivedAt = begunAt
@@ -174,13 +177,13 @@
         this->readAt(proxyIndex, caller, request, primary->slot, true);
     } else if (std::holds_alternative<WaitForReplica>(choice)) {
         this->pollReplicas(proxyIndex);
-        this->at(this->clock + 1ms, [this, proxyIndex, again] { this->atProxy(proxyIndex, again); });
+        this->at(this->clock + 1ms, [this, proxyIndex, again] { this->runOnProxy(proxyIndex, again); });
     } else {
-        this->at(this->clock + 50ms, [this, proxyIndex, again] { this->atProxy(proxyIndex, again); });
+        this->at(this->clock + 50ms, [this, proxyIndex, again] { this->runOnProxy(proxyIndex, again); });
     }
 }
 
-void GroupWorld::readAt(std::size_t proxyIndex, Caller caller, const ReplicaTracker::Request& request,
+void GroupSimulation::readAt(std::size_t proxyIndex, Caller caller, const ReplicaTracker::Request& request,
     const SlotName& name, bool onPrimary)
 {
     const auto sentAt = this->clock;
@@ -189,7 +192,7 @@
     const auto fail = [this, caller] { this->endOperation(caller); };
     this->callSlot(
         proxyIndex, this->indexOf(name), false,
-        [rows, before](ModelSlot& slot) {
+        [rows, before](SimulatedSlot& slot) {
             *before = slot.status();
             *rows = rowsOf(slot);
             return true;
@@ -205,7 +208,7 @@
             const auto done = [=, this] {
                 ++(onPrimary ? this->readCounts.primary : this->readCounts.replica);
                 this->readCounts.took.push_back(this->clock - request.arrivedAt);
-                this->noteRead(caller, request.access, sentAt, *rows, progress);
+                this->checkRead(caller, request.access, sentAt, *rows, progress);
             };
             if (onPrimary && before->progress >= request.seen) {
                 this->awaitConfirmation(proxyIndex,
@@ -217,7 +220,7 @@
                 done();
             } else {
                 this->at(this->clock + 1ms, [=, this] {
-                    this->atProxy(proxyIndex,
+                    this->runOnProxy(proxyIndex,
                         [=, this] { this->read(proxyIndex, caller, request.access, request.arrivedAt); });
                 });
             }
@@ -226,7 +229,8 @@
 
 // The account
 
-void GroupWorld::noteAcknowledged(Caller caller, std::uint64_t write, Instant sentAt, Progress progress)
+void GroupSimulation::recordAcknowledgedWrite(
+    Caller caller, std::uint64_t write, Instant sentAt, Progress progress)
 {
     auto& session = this->sessions[caller.session];
     if (session.operation == caller.operation) {
@@ -234,13 +238,13 @@
         session.known.insert(write);
         this->endOperation(caller);
     }
-    this->acks.push_back({ .write = write, .sentAt = sentAt, .at = this->clock });
+    this->acknowledgedWrites.push_back({ .write = write, .sentAt = sentAt, .at = this->clock });
     if (!this->slots[this->primaryIndex()].holds(write))
-        this->breach(
+        this->recordViolation(
             "write " + std::to_string(write) + " was acknowledged although a later primary lacks it");
 }
 
-void GroupWorld::noteRead(
+void GroupSimulation::checkRead(
     Caller caller, const Access& access, Instant sentAt, const std::set<std::uint64_t>& rows, Progress seen)
 {
     auto& session = this->sessions[caller.session];
@@ -249,38 +253,38 @@
     this->endOperation(caller);
     session.seen = std::max(session.seen, seen);
     if (!std::includes(rows.begin(), rows.end(), session.known.begin(), session.known.end()))
-        this->breach("a session did not read what it had written or read before");
+        this->recordViolation("a session did not read what it had written or read before");
     session.known = rows;
     auto upTo = Instant::min();
     if (std::holds_alternative<PrimaryRead>(access))
         upTo = sentAt;
     else if (std::holds_alternative<BoundedRead>(access))
         upTo = this->clock - staleness;
-    for (const auto& acknowledged : this->acks) {
+    for (const auto& acknowledged : this->acknowledgedWrites) {
         if (acknowledged.at <= upTo && !rows.contains(acknowledged.write)) {
-            this->breach("a read was older than its bound");
+            this->recordViolation("a read was older than its bound");
             return;
         }
     }
 }
 
-void GroupWorld::notePromotion(std::size_t slotIndex, Term term)
+void GroupSimulation::recordPromotion(std::size_t slotIndex, Term term)
 {
-    for (const auto& reign : this->reigns) {
-        if (reign.term == term && reign.slot != slotIndex)
-            this->breach("two slots were promoted in one term");
+    for (const auto& primaryTerm : this->primaryTerms) {
+        if (primaryTerm.term == term && primaryTerm.slot != slotIndex)
+            this->recordViolation("two slots were promoted in one term");
     }
-    for (const auto& acknowledged : this->acks) {
+    for (const auto& acknowledged : this->acknowledgedWrites) {
         if (!this->slots[slotIndex].holds(acknowledged.write))
-            this->breach("acknowledged write " + std::to_string(acknowledged.write) + " was lost");
+            this->recordViolation("acknowledged write " + std::to_string(acknowledged.write) + " was lost");
     }
-    if (term > this->reigns.back().term)
-        this->reigns.push_back({ .term = term, .slot = slotIndex });
+    if (term > this->primaryTerms.back().term)
+        this->primaryTerms.push_back({ .term = term, .slot = slotIndex });
     this->replicateAll();
 }
 
-void GroupWorld::breach(std::string what)
+void GroupSimulation::recordViolation(std::string what)
 {
     const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(this->clock.time_since_epoch());
-    this->breachList.push_back(std::to_string(millis.count()) + " ms: " + std::move(what));
+    this->violationList.push_back(std::to_string(millis.count()) + " ms: " + std::move(what));
 }
--- a/tests/failover/model_slot.h
+++ b/tests/failover/model_slot.h
@@ -11,17 +11,17 @@
 
 /// A slot as the contract with the platform describes it: a log, a fence, and replication that drops what the
 /// primary does not have.
-struct ModelSlot {
-    struct Record {
+struct SimulatedSlot {
+    struct LogEntry {
         cyclamendrift::Term term {};
         std::uint64_t write = 0;
         cyclamendrift::Instant at;
 
-        friend bool operator==(const Record&, const Record&) = default;
+        friend bool operator==(const LogEntry&, const LogEntry&) = default;
     };
-    static constexpr std::uint64_t noWrite = 0;
+    static constexpr std::uint64_t noWriteId = 0;
 
-    std::vector<Record> log { { cyclamendrift::Term { 1 }, noWrite, {} } };
+    std::vector<LogEntry> log { { cyclamendrift::Term { 1 }, noWriteId, {} } };
     cyclamendrift::Term fenced { 1 };
     cyclamendrift::Term followingTerm { 1 };
     std::size_t following = 0;
@@ -54,7 +54,7 @@
         if (this->log.back().term >= term)
             return false;
         this->primary = true;
-        this->log.push_back({ term, noWrite, now });
+        this->log.push_back({ term, noWriteId, now });
         return true;
     }
 
@@ -79,14 +79,15 @@
         return true;
     }
 
-    [[nodiscard]] bool mayPullFrom(const ModelSlot& source) const
+    [[nodiscard]] bool canReplicateFrom(const SimulatedSlot& source) const
     {
         return !this->primary && this->alive && this->fenced <= this->followingTerm && source.alive
             && source.primary && source.log.back().term == this->followingTerm;
     }
 
     /// Takes over what is due; returns when more will be.
-    std::optional<cyclamendrift::Instant> pullFrom(const ModelSlot& source, cyclamendrift::Instant now)
+    std::optional<cyclamendrift::Instant> replicateFrom(
+        const SimulatedSlot& source, cyclamendrift::Instant now)
     {
         const auto [own, theirs]
             = std::mismatch(this->log.begin(), this->log.end(), source.log.begin(), source.log.end());
@@ -102,7 +103,7 @@
 
     [[nodiscard]] bool holds(std::uint64_t write) const
     {
-        return std::any_of(
-            this->log.begin(), this->log.end(), [&](const Record& record) { return record.write == write; });
+        return std::any_of(this->log.begin(), this->log.end(),
+            [&](const LogEntry& record) { return record.write == write; });
     }
 };
