--- a/bench/bench_consistency.cpp
+++ b/bench/bench_consistency.cpp
@@ -1,6 +1,6 @@
 // Failover gap by its parts, reads on replicas and the cost of confirmations, at both sites' sizes, in
 // virtual time.
-#include "../tests/failover/group_world.h"
+#include "../tests/failover/group_simulation.h"
 
 #include <algorithm>
 #include <functional>
--- a/include/cyclamendrift/cyclamendrift.h
+++ b/include/cyclamendrift/cyclamendrift.h
@@ -34,8 +34,8 @@
 #include <cyclamendrift/failover/failover_events.h>
 #include <cyclamendrift/failover/failover_settings.h>
 #include <cyclamendrift/failover/group_record.h>
-#include <cyclamendrift/failover/primary_choice.h>
-#include <cyclamendrift/failover/slot_watch.h>
+#include <cyclamendrift/failover/primary_selection.h>
+#include <cyclamendrift/failover/slot_monitor.h>
 #include <cyclamendrift/forward_declarations.h>
 #include <cyclamendrift/limits/limit_client.h>
 #include <cyclamendrift/limits/limit_shard_home.h>
--- a/include/cyclamendrift/failover/failover_coordinator.h
+++ b/include/cyclamendrift/failover/failover_coordinator.h
@@ -7,7 +7,7 @@
 #include <cyclamendrift/failover/failover_actions.h>
 #include <cyclamendrift/failover/failover_events.h>
 #include <cyclamendrift/failover/failover_settings.h>
-#include <cyclamendrift/failover/slot_watch.h>
+#include <cyclamendrift/failover/slot_monitor.h>
 
 #include <cstdint>
 #include <map>
--- a/src/failover/primary_choice.cpp
+++ b/src/failover/primary_selection.cpp
@@ -1,4 +1,4 @@
-#include <cyclamendrift/failover/primary_choice.h>
+#include <cyclamendrift/failover/primary_selection.h>
 
 #include <cyclamendrift/commits/group_view.h>
 
--- a/src/failover/promotion.cpp
+++ b/src/failover/promotion.cpp
@@ -1,7 +1,7 @@
 // The part of FailoverCoordinator that replaces a primary: claim a term, fence, choose.
 #include <cyclamendrift/failover/failover_coordinator.h>
 
-#include <cyclamendrift/failover/primary_choice.h>
+#include <cyclamendrift/failover/primary_selection.h>
 
 #include <algorithm>
 #include <utility>
--- a/src/failover/slot_watch.cpp
+++ b/src/failover/slot_monitor.cpp
@@ -1,4 +1,4 @@
-#include <cyclamendrift/failover/slot_watch.h>
+#include <cyclamendrift/failover/slot_monitor.h>
 
 #include <cyclamendrift/failover/failover_error.h>
 
--- a/tests/failover/failover_test.cpp
+++ b/tests/failover/failover_test.cpp
@@ -1,7 +1,7 @@
-#include "group_world.h"
+#include "group_simulation.h"
 
 #include <cyclamendrift/failover/failover_error.h>
-#include <cyclamendrift/failover/primary_choice.h>
+#include <cyclamendrift/failover/primary_selection.h>
 
 #include <doctest/doctest.h>
 
--- a/tests/failover/group_world.h
+++ b/tests/failover/group_simulation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "model_slot.h"
+#include "simulated_slot.h"
 
 #include <cyclamendrift/commits/acknowledgements.h>
 #include <cyclamendrift/failover/failover_coordinator.h>
--- a/tests/failover/group_world_sessions.cpp
+++ b/tests/failover/group_simulation_sessions.cpp
@@ -1,4 +1,4 @@
-#include "group_world.h"
+#include "group_simulation.h"
 
 #include <cyclamendrift/sessions/primary_read.h>
 
