--- a/include/cyclamendrift/failover/failover_actions.h
+++ b/include/cyclamendrift/failover/failover_actions.h
@@ -9,48 +9,49 @@
 #include <variant>
 #include <vector>
 
-/// What a FailoverCoordinator wants done.
+/// Actions that a FailoverCoordinator requests from its caller.
 namespace cyclamendrift {
 
-/// Ask a slot for its status.
+/// Query the status of a slot.
 struct ProbeSlot {
     SlotName slot;
 };
-/// Make a slot refuse every lower term.
+/// Fence a slot, so that it rejects every term lower than `term`.
 struct FenceSlot {
     SlotName slot;
     Term term {};
 };
-/// Make a slot primary of a term.
+/// Promote a slot to primary of a term.
 struct PromoteSlot {
     SlotName slot;
     Term term {};
 };
-/// Make a slot a replica in a term.
+/// Make a slot replicate from the primary of a term.
 struct FollowPrimary {
     SlotName slot;
     Term term {};
     SlotName primary;
 };
-/// Ask siblings in other availability zones whether they reach a slot.
+/// Ask siblings in other availability zones whether they can reach a slot.
 struct AskSiblings {
     SlotName slot;
 };
-/// Read the record.
+/// Read the group record from the store.
 struct ReadRecord { };
-/// Change the record if it stands at a revision; 0 when it must not exist.
+/// Replace the group record by compare-and-swap.
 struct SwapRecord {
+    /// Store revision that the record must have; 0 if it must not exist yet.
     std::uint64_t expectedRevision = 0;
     GroupRecord record;
 };
-/// Hand a new view to whoever serves the database.
+/// Pass a new view to the parts of the proxy that serve the database.
 struct PublishView {
     GroupView view;
 };
-/// Anything that a coordinator wants done.
+/// Any action that a coordinator requests.
 using FailoverAction = std::variant<ProbeSlot, FenceSlot, PromoteSlot, FollowPrimary, AskSiblings, ReadRecord,
     SwapRecord, PublishView>;
-/// Actions in the order in which to begin them; none waits for another.
+/// Actions in the order in which to start them; none depends on the completion of another.
 using FailoverActions = std::vector<FailoverAction>;
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/failover/failover_coordinator.h
+++ b/include/cyclamendrift/failover/failover_coordinator.h
@@ -17,9 +17,12 @@
 
 namespace cyclamendrift {
 
-/// Keeps a primary for one database, as seen from one VM: finds out that it failed, replaces it, and brings
-/// the other slots behind the new one. Any number of VMs may run one for the same database, and each may stop
-/// for any time at any point: the record in the store decides between them, and slots refuse lower terms.
+/// State machine that keeps one database group served by a primary: detects that the primary has failed,
+/// promotes another slot and makes the remaining slots replicate from it. Performs no I/O; the caller passes
+/// in events and carries out the returned actions. Not thread-safe.
+///
+/// Any number of VMs may run a coordinator for the same group, and each may stop for any time at any point:
+/// the group record in the store arbitrates between them, and slots reject lower terms.
 ///
 ///     FailoverCoordinator coordinator { { .vm = self, .slots = slots, .seed = seed } };
 ///     for (const auto& action : coordinator.handle(SlotAnswered { sample }, now))
@@ -29,48 +32,52 @@
     struct Options {
         VmName vm;
         std::vector<SlotName> slots;
-        /// Place among the homes of the database, 0 for the first.
+        /// Rank among the home proxies of the database, from 0; higher ranks act later.
         std::size_t rank = 0;
         FailoverSettings settings;
         Instant startedAt;
-        /// Makes change ids unique; two coordinators must not share one.
+        /// Random seed for change ids; must differ between coordinators, since change ids must be unique.
         std::uint64_t seed = 0;
     };
 
     explicit FailoverCoordinator(Options options);
 
-    /// Takes in an event.
+    /// Processes an event and returns the actions to start.
     [[nodiscard]] FailoverActions handle(const FailoverEvent& event, Instant now);
 
-    /// To be called every 50 ms or so.
+    /// Processes the passage of time; to be called about every 50 ms.
     [[nodiscard]] FailoverActions tick(Instant now);
 
-    /// The view as it was last published.
+    /// Returns the view that was published last.
     [[nodiscard]] const GroupView& view() const noexcept { return this->publishedView; }
 
 private:
-    /// Why a term was claimed.
+    /// Reason for claiming a term.
     enum class Purpose : std::uint8_t { ReplacePrimary, AddReplica };
 
-    /// A term that this VM has claimed, or is claiming.
+    /// Progress of a term change by this VM, from the claim to the selection of the primary.
     struct Attempt {
         Term term {};
         Purpose purpose = Purpose::ReplacePrimary;
+        /// Slots that are selected only if no other slot is as safe.
         std::vector<SlotName> avoided;
+        /// Replicas to add to the in-sync set.
         std::vector<SlotName> joining;
-        /// True once the record holds the claim.
+        /// True once the record contains the claim.
         bool claimed = false;
+        /// Slots fenced at `term`, with the final progress of their logs.
         std::map<SlotName, Progress> fenced;
         std::optional<Instant> enoughFencedAt;
     };
 
-    /// A swap whose outcome is not known yet.
+    /// A compare-and-swap of the record whose outcome is not known yet.
     struct PendingSwap {
         SwapRecord swap;
+        /// True if the call got no answer, so that only reading the record can show its outcome.
         bool unanswered = false;
     };
 
-    // What is known of the record.
+    // Reading and writing the group record.
     void on(const RecordRead& event);
     void on(const RecordReadFailed& event);
     void on(const RecordSwapped& event);
@@ -84,7 +91,7 @@
     void swap(GroupRecord record);
     [[nodiscard]] std::string makeChangeId();
 
-    // What is known of the slots.
+    // Slot status and failure detection.
     void on(const SlotAnswered& event);
     void on(const SlotUnreachable& event);
     void on(const SlotRefused& event);
@@ -94,7 +101,7 @@
     void askSiblingsAbout(SlotMonitor& slot);
     [[nodiscard]] bool isDown(const SlotMonitor& slot) const;
 
-    // Promotion.
+    // Term changes and promotion.
     void replacePrimaryIfNeeded();
     void takeOverPromotionIfStalled();
     void claimTerm(Purpose purpose, std::vector<SlotName> avoided, std::vector<SlotName> joining);
@@ -109,7 +116,7 @@
     [[nodiscard]] bool othersMayStillAnswer();
     void writeSelection(const SlotName& selected);
 
-    // What keeps a settled group whole.
+    // Maintenance of a settled group.
     void applyRecord();
     void promoteRecordedPrimary(SlotMonitor& primary);
     void redirectReplicas(const SlotMonitor& primary);
@@ -141,9 +148,9 @@
     std::vector<SlotMonitor> slots;
     std::vector<SlotName> leaving;
     std::optional<VersionedRecord> current;
-    /// True once the store said that there is no record.
+    /// True once the store has answered that there is no record.
     bool recordAbsent = false;
-    /// True while a slot shows a term that the record as known does not explain.
+    /// True while a slot reports a higher term than the known record.
     bool recordMayBeOutdated = false;
     bool readingRecord = false;
     std::optional<Instant> lastReadAt;
--- a/include/cyclamendrift/failover/failover_error.h
+++ b/include/cyclamendrift/failover/failover_error.h
@@ -4,7 +4,8 @@
 
 namespace cyclamendrift {
 
-/// A record of a group, or an opinion of a sibling, that cannot be read.
+/// Thrown for a group record or a sibling's slot report that cannot be decoded, and for a record, status or
+/// promotion that is requested before it is available.
 class FailoverError : public Error {
 public:
     using Error::Error;
--- a/include/cyclamendrift/failover/failover_events.h
+++ b/include/cyclamendrift/failover/failover_events.h
@@ -11,62 +11,62 @@
 #include <variant>
 #include <vector>
 
-/// What a FailoverCoordinator is told.
+/// Events that a FailoverCoordinator processes.
 namespace cyclamendrift {
 
-/// A slot gave its status, as the answer to a probe, fence, promotion or follow.
+/// A slot returned its status in answer to a probe, fence, promote or follow call.
 struct SlotAnswered {
     StatusSample sample;
 };
-/// A slot could not be asked or did not answer in time.
+/// A slot could not be contacted or did not answer in time.
 struct SlotUnreachable {
     SlotName slot;
 };
-/// A slot answered with an error, so it lives but did not do what it was told.
+/// A slot answered with an error: it is alive but did not carry out the call.
 struct SlotRefused {
     SlotName slot;
 };
-/// What one sibling found when it asked a slot.
+/// Report of one sibling about a slot that it contacted.
 struct SlotOpinion {
     VmName vm;
     bool reachable = false;
-    /// Empty when it is reachable but gave no status.
+    /// Status that the slot returned; may be empty for a reachable slot too.
     std::optional<SlotStatus> status;
 };
-/// Siblings in other availability zones were asked about a slot.
+/// Siblings in other availability zones have answered a question about a slot.
 struct SiblingsAnswered {
     SlotName slot;
     Instant askedAt;
-    /// How many were asked; 0 when there are none.
+    /// Number of siblings that were asked; 0 if there are none.
     std::size_t asked = 0;
-    /// Those that answered.
+    /// Reports of the siblings that answered.
     std::vector<SlotOpinion> opinions;
 };
-/// The record was read; empty when there is none.
+/// The group record was read; empty if the store has none.
 struct RecordRead {
     std::optional<VersionedRecord> current;
 };
-/// The record could not be read.
+/// The group record could not be read.
 struct RecordReadFailed { };
-/// A swap took place.
+/// A compare-and-swap of the record succeeded.
 struct RecordSwapped {
     std::string changeId;
     std::uint64_t revision = 0;
 };
-/// A swap did not take place, because the record stood elsewhere.
+/// A compare-and-swap was rejected, because the record has another revision than expected.
 struct RecordConflict {
     std::string changeId;
     std::optional<VersionedRecord> current;
 };
-/// No answer to a swap came: it may have taken place, or may still.
+/// A compare-and-swap got no answer: it may have taken effect, or may still take effect later.
 struct RecordSwapUnanswered {
     std::string changeId;
 };
-/// The slots that are on leaving VMs now.
+/// The set of slots on leaving VMs has changed.
 struct LeavingSlotsChanged {
     std::vector<SlotName> leaving;
 };
-/// Everything that a coordinator is told, in any order, late or twice.
+/// Any event for a coordinator. Events may arrive in any order, late or more than once.
 using FailoverEvent = std::variant<SlotAnswered, SlotUnreachable, SlotRefused, SiblingsAnswered, RecordRead,
     RecordReadFailed, RecordSwapped, RecordConflict, RecordSwapUnanswered, LeavingSlotsChanged>;
 
--- a/include/cyclamendrift/failover/failover_settings.h
+++ b/include/cyclamendrift/failover/failover_settings.h
@@ -6,35 +6,37 @@
 
 namespace cyclamendrift {
 
-/// Times that a FailoverCoordinator goes by. None matters for safety.
+/// Timeouts and intervals of a FailoverCoordinator. They affect availability only, never safety.
 struct FailoverSettings {
-    /// Between two probes of a slot.
+    /// Interval between two probes of a slot.
     Duration probeInterval = std::chrono::milliseconds { 200 };
-    /// A slot that has not answered for this long is suspected, and siblings are asked about it.
+    /// Time without an answer after which a slot is suspected to be down and siblings are asked about it.
     Duration suspectAfter = std::chrono::milliseconds { 700 };
-    /// A primary that some siblings reach and others do not is replaced after this long, if at least as many
-    /// do not.
+    /// Time without an answer after which a slot that some siblings still reach is considered down, if at
+    /// least one sibling cannot reach it and, with this VM, as many VMs cannot as can.
     Duration contestedAfter = std::chrono::seconds { 3 };
-    /// Between two rounds of questions to siblings.
+    /// Interval between two rounds of questions to siblings about a slot.
     Duration askInterval = std::chrono::milliseconds { 300 };
-    /// Between two tries of a fence, promotion, follow or store call that has not worked yet.
+    /// Interval between two attempts of a fence or promote call, and between two reads of the record while it
+    /// is unknown, unsettled or possibly outdated.
     Duration retryInterval = std::chrono::milliseconds { 200 };
-    /// How long a promoter waits for slots that were alive just now, once enough are fenced.
+    /// How long a promoter waits for further responsive slots to be fenced, once enough slots are.
     Duration fenceGracePeriod = std::chrono::milliseconds { 100 };
-    /// A promotion of another VM that makes no progress for this long is taken over.
+    /// Time without progress after which a promotion by another VM is taken over.
     Duration takeoverAfter = std::chrono::milliseconds { 1200 };
-    /// In groups of two, a replica that stays behind the primary for this long leaves the in-sync set. It
-    /// bounds how long a dead or slow replica holds up writes.
+    /// In groups of two, a replica that lags behind the primary for this long is removed from the in-sync
+    /// set. Limits how long a failed or slow replica delays writes.
     Duration shrinkAfter = std::chrono::milliseconds { 800 };
-    /// In groups of three, a primary that no replica has followed for this long is replaced.
+    /// In groups of three or more, a primary is replaced once every replica has lagged behind it without
+    /// progress for this long.
     Duration stallAfter = std::chrono::seconds { 2 };
-    /// A replica has to keep up for this long before it joins the in-sync set again; doubles each time that
-    /// it falls out soon after.
+    /// How long a replica must be caught up before it rejoins the in-sync set. The delay doubles, up to
+    /// `maxRejoinDelay`, each time that a replica falls behind soon after rejoining.
     Duration rejoinDelay = std::chrono::seconds { 2 };
     Duration maxRejoinDelay = std::chrono::seconds { 60 };
-    /// Between two reads of the record while nothing is wrong.
+    /// Interval between two reads of the record while the group is settled.
     Duration recordReadInterval = std::chrono::seconds { 10 };
-    /// Added for each rank below the first before a home proxy acts, so that two seldom act at once.
+    /// Delay per rank before a home proxy acts, so that two rarely act at the same time.
     Duration rankDelay = std::chrono::milliseconds { 300 };
 };
 
--- a/include/cyclamendrift/failover/group_record.h
+++ b/include/cyclamendrift/failover/group_record.h
@@ -9,38 +9,38 @@
 
 namespace cyclamendrift {
 
-/// What the store keeps of a group; changed by compare-and-swap only.
+/// State of a database group in the store; changed by compare-and-swap only.
 ///
 ///     const auto record = GroupRecord::decode(entry.value);
-///     record.isSettled(); // false while a promotion is under way
+///     record.isSettled(); // false while a promotion is in progress
 struct GroupRecord {
     /// The highest term that a promoter has claimed.
     Term term {};
-    /// The term in which `primary` was chosen.
+    /// The term in which `primary` was selected.
     Term servingTerm {};
     SlotName primary;
-    /// Slots that must all hold a commit of the serving term, in groups of fewer than three slots. It only
-    /// shrinks within a term.
+    /// Slots that must all hold a commit of the serving term before it is acknowledged, in groups of fewer
+    /// than three slots. Only shrinks within a term.
     std::vector<SlotName> inSync;
-    /// Where the log of `primary` stood when it was chosen.
+    /// Log progress of `primary` when it was selected.
     Progress base;
-    /// VM that wrote the record.
+    /// VM that wrote this version of the record.
     VmName promoter;
-    /// Unique to each change, so that a change whose answer was lost is recognised.
+    /// Unique to each change, so that its writer recognises a change whose answer was lost.
     std::string changeId;
 
-    /// True when no promotion is under way.
+    /// True if no term change is in progress.
     [[nodiscard]] bool isSettled() const noexcept { return this->term == this->servingTerm; }
 
-    /// The record as the store keeps it.
+    /// Serializes the record for the store (wire.GroupRecord).
     [[nodiscard]] std::string encode() const;
-    /// The record that the store kept; throws FailoverError.
+    /// Parses a record from the store; throws FailoverError if it is malformed.
     [[nodiscard]] static GroupRecord decode(std::string_view value);
 
     friend bool operator==(const GroupRecord&, const GroupRecord&) = default;
 };
 
-/// A record with the revision of the store at which it stood.
+/// A group record and its revision in the store.
 struct VersionedRecord {
     GroupRecord record;
     std::uint64_t revision = 0;
--- a/include/cyclamendrift/failover/primary_selection.h
+++ b/include/cyclamendrift/failover/primary_selection.h
@@ -10,20 +10,21 @@
 
 namespace cyclamendrift {
 
-/// What a promoter knows when it chooses.
+/// What a promoter knows when it selects the next primary.
 struct PrimarySelectionInput {
-    /// The record as it stood when the term was claimed.
+    /// The group record at the time of the claim.
     GroupRecord record;
+    /// Every slot of the group.
     std::vector<SlotName> slots;
-    /// Slots fenced at the claimed term, with where their logs stand now for good.
+    /// Slots fenced at the claimed term, with the final progress of their logs.
     std::map<SlotName, Progress> fenced;
-    /// Slots to avoid when another is as safe: on a VM that is leaving, or cut off from the group.
+    /// Slots to select only if no other slot is as safe: on a leaving VM, or cut off from the group.
     std::vector<SlotName> avoided;
 };
 
-/// The slot to promote, which holds every acknowledged commit; empty while too few are fenced to be sure.
+/// Selects a slot that holds every acknowledged commit; empty while too few slots are fenced to be certain.
 ///
-///     if (const auto slot = selectPrimary(choice))
+///     if (const auto slot = selectPrimary(input))
 ///         promote(*slot);
 [[nodiscard]] std::optional<SlotName> selectPrimary(const PrimarySelectionInput& input);
 
--- a/include/cyclamendrift/failover/slot_monitor.h
+++ b/include/cyclamendrift/failover/slot_monitor.h
@@ -10,62 +10,64 @@
 
 namespace cyclamendrift {
 
-/// What one VM knows of one slot over time: its last status, since when it is silent, and since when it is
-/// behind its primary.
+/// Tracks one slot as seen from one VM: its newest status, the time since its last answer, and for how long
+/// it has lagged behind its primary.
 class SlotMonitor {
 public:
     SlotMonitor(SlotName name, Instant now);
 
     [[nodiscard]] const SlotName& name() const noexcept { return this->slotName; }
 
-    /// Takes in a status that this VM got itself.
+    /// Records a status that the slot returned to this VM.
     void onAnswered(const StatusSample& sample);
-    /// Takes in a status that a sibling got.
+    /// Records a status that the slot returned to a sibling.
     void onRelayed(const StatusSample& sample);
-    /// Takes in an error answer, which shows that it lives.
+    /// Records an error answer, which shows that the slot is alive.
     void onRefused(Instant now);
-    /// Takes in what siblings said.
+    /// Records the reports of siblings about the slot.
     void onSiblingsAnswered(const SiblingsAnswered& answer);
 
-    /// The newest status, by when it was asked for; empty when there is none.
+    /// The status that was requested last; empty if there is none.
     [[nodiscard]] const std::optional<StatusSample>& latestSample() const noexcept
     {
         return this->newestSample;
     }
-    /// The newest status; throws FailoverError when there is none.
+    /// The status that was requested last; throws FailoverError if there is none.
     [[nodiscard]] const SlotStatus& status() const;
-    /// Since when it has not answered this VM.
+    /// Time since the slot last answered this VM, or since construction if it never has.
     [[nodiscard]] Duration timeSinceAnswer(Instant now) const noexcept { return now - this->lastAnswerAt; }
-    /// Since when it has not answered anyone, as far as this VM knows.
+    /// Time since the slot last answered this VM or a sibling that reported a status.
     [[nodiscard]] Duration timeSinceAnyAnswer(Instant now) const noexcept;
-    /// What siblings said last, unless the slot has answered since.
+    /// The last reports of siblings; empty if the slot has answered this VM since.
     [[nodiscard]] const std::optional<SiblingsAnswered>& siblingsAnswer() const noexcept
     {
         return this->lastSiblingsAnswer;
     }
 
-    /// Sets the position of its primary that it should reach, if it has none to reach now.
+    /// Sets the progress that the replica should reach, unless it has reached it or has a target already.
     void setTarget(Progress target, Instant now);
-    /// For how long it has not reached what its primary had.
+    /// Time since the current target was set; zero if there is none.
     [[nodiscard]] Duration timeBehind(Instant now) const noexcept;
-    /// For how long its log has not moved.
+    /// Time since the slot last reported a change of its progress.
     [[nodiscard]] Duration timeSinceProgress(Instant now) const noexcept
     {
         return now - this->lastProgressAt;
     }
-    /// Forgets what it was expected to reach; for a new term.
+    /// Removes the target; for a new term.
     void clearTarget() noexcept { this->target.reset(); }
 
-    /// Since when it keeps up with its primary; empty when it does not.
+    /// Since when the replica has kept up with its primary; empty while it lags.
     std::optional<Instant> caughtUpSince;
-    /// Times at which something may next be sent to it.
+    /// Earliest times of the next probe, the next order (fence, promote or follow) and the next question to
+    /// siblings about the slot.
     Instant nextProbeAt;
     Instant nextOrderAt;
     Instant nextSiblingQueryAt;
-    /// Since when it answers as something other than the record says.
+    /// Since when the primary of the record has answered without acting as primary; else empty.
     std::optional<Instant> notActingSince;
 
 private:
+    /// Progress of the primary that the replica has to reach.
     struct Target {
         Progress progress;
         Instant since;
--- a/src/failover/failover_coordinator.cpp
+++ b/src/failover/failover_coordinator.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A read of the record whose answer never came back to the coordinator is given up after this long.
+/// A read of the record without an answer is repeated after this time.
 constexpr Duration recordReadTimeout = std::chrono::seconds { 3 };
 
 } // namespace
@@ -70,7 +70,7 @@
     this->rejoinCaughtUpReplicas();
 }
 
-// The record
+// Group record
 
 void FailoverCoordinator::on(const RecordRead& event)
 {
@@ -83,9 +83,9 @@
         this->recordAbsent = true;
 }
 
-/// An answer of the store can be lost after the change took effect; the change id in the record tells. When
-/// the record has not moved, the lost call may still arrive, so the very same change is sent again: both
-/// expect the same revision, and only one can take effect.
+/// The store's answer can be lost after the change took effect; the change id in the record shows whether it
+/// did. If the revision is unchanged, the lost call may still arrive, so the identical change is sent again:
+/// both calls expect the same revision, so only one can take effect.
 void FailoverCoordinator::resolveSwap(const RecordRead& event)
 {
     if (!this->pendingSwap)
@@ -141,7 +141,7 @@
 
 void FailoverCoordinator::adoptRecord(const VersionedRecord& stored)
 {
-    // Reads overtake one another; an older one would bring back a term that is over.
+    // Reads may complete out of order; an older one would restore a term that has ended.
     if (this->current && stored.revision <= this->current->revision)
         return;
     const bool newTerm = !this->current || this->current->record.servingTerm != stored.record.servingTerm;
@@ -206,8 +206,8 @@
     return this->options.vm.string() + '/' + std::to_string(this->random());
 }
 
-/// Without a record nothing was ever acknowledged under one, but the slots may hold data all the same. So the
-/// first record is made only when every slot can be seen.
+/// Creates the first record. Without a record no commit has been acknowledged under one, but the slots may
+/// already contain data, so the record is created only while every slot is responsive.
 void FailoverCoordinator::bootstrap()
 {
     if (!this->recordAbsent || this->now - this->options.startedAt < this->rankDelay())
@@ -239,7 +239,7 @@
     this->swap(std::move(record));
 }
 
-// The slots
+// Slot status and failure detection
 
 void FailoverCoordinator::on(const SlotAnswered& event)
 {
@@ -254,8 +254,8 @@
 
 void FailoverCoordinator::on(const SlotUnreachable&)
 {
-    // Silence is measured from the last answer; a single failure may be an old connection that something in
-    // between has forgotten, and the next probe goes over a new one.
+    // Failure detection measures the time since the last answer. A single failure may be due to a stale
+    // connection that was dropped between the VMs; the next probe uses a new connection.
 }
 
 void FailoverCoordinator::on(const SlotRefused& event)
@@ -301,8 +301,9 @@
     this->actions.emplace_back(AskSiblings { slot.name() });
 }
 
-/// One proxy with a broken network sees every slot silent. So its own view never suffices: siblings in other
-/// zones have to fail to reach the slot as well, and one whose siblings do not answer decides nothing.
+/// A proxy whose own network has failed gets no answer from any slot. A slot is therefore considered down
+/// only if siblings in other availability zones cannot reach it either; while no sibling answers, nothing is
+/// decided. Without any siblings, this VM decides alone.
 bool FailoverCoordinator::isDown(const SlotMonitor& slot) const
 {
     const auto& settings = this->options.settings;
@@ -318,8 +319,8 @@
     constexpr std::size_t minAgreeingSiblings = 2;
     if (reaching == 0 && failing >= std::min(minAgreeingSiblings, siblingsAnswer->asked))
         return true;
-    // Reached by some and not by others: here the home that is to serve the callers cannot, and it is not
-    // alone in that.
+    // Some siblings reach the slot and some do not: this home proxy, which has to serve callers, cannot reach
+    // it either.
     return slot.timeSinceAnswer(this->now) >= settings.contestedAfter && failing > 0
         && failing + 1 >= reaching;
 }
@@ -327,18 +328,18 @@
 const GroupRecord& FailoverCoordinator::record() const
 {
     if (!this->current)
-        throw FailoverError { "the record of the group is not known" };
+        throw FailoverError { "the group record has not been read yet" };
     return this->current->record;
 }
 
 FailoverCoordinator::Attempt& FailoverCoordinator::ownAttempt()
 {
     if (!this->attempt)
-        throw FailoverError { "no promotion of this VM is under way" };
+        throw FailoverError { "this VM has no term change in progress" };
     return *this->attempt;
 }
 
-// Small questions
+// Queries
 
 SlotMonitor* FailoverCoordinator::find(const SlotName& name)
 {
--- a/src/failover/group_maintenance.cpp
+++ b/src/failover/group_maintenance.cpp
@@ -1,4 +1,4 @@
-// The part of FailoverCoordinator that keeps a settled group whole: carry out what the record says, and adapt
+// FailoverCoordinator: maintenance of a settled group, which applies the group record to the slots and adapts
 // the in-sync set of small groups.
 #include <cyclamendrift/failover/failover_coordinator.h>
 
@@ -9,16 +9,16 @@
 
 namespace {
 
-/// A replica that falls out again within this time after it joined is let in more slowly next time.
+/// If a replica falls behind again within this time after a rejoin, the rejoin delay is doubled.
 constexpr Duration recentRejoinWindow = std::chrono::seconds { 30 };
 
-/// How far behind its primary a replica may be and still be said to keep up, in probe intervals.
+/// How many probe intervals a replica may lag behind its primary and still count as caught up.
 constexpr int maxProbeIntervalsBehind = 2;
 
 } // namespace
 
-/// The record decides; carrying it out is the same for every VM and may be done by several, twice or late,
-/// because slots refuse what belongs to a lower term.
+/// Brings the slots into the state that the record describes. Several VMs may do so, repeatedly or late,
+/// because slots reject calls of a lower term.
 void FailoverCoordinator::applyRecord()
 {
     auto* primary = this->find(this->record().primary);
@@ -99,9 +99,9 @@
     return primary != nullptr && this->isActingPrimary(*primary) && this->isResponsive(*primary);
 }
 
-/// A replica that holds up every write leaves the in-sync set by a change of the record. Only after that
-/// change is known to have taken place does the view name a smaller set: acknowledging first would lose the
-/// commit if this replica were promoted at the same moment.
+/// Removes a replica that delays every write from the in-sync set in the record. The view contains the
+/// smaller set only once that change is known to have taken effect: a commit acknowledged earlier would be
+/// lost if the removed replica were promoted at the same time.
 void FailoverCoordinator::shrinkInSyncSetIfNeeded()
 {
     if (this->usesMajority() || this->pendingSwap || !this->isServing())
@@ -126,8 +126,9 @@
     this->swap(std::move(record));
 }
 
-/// Siblings that reach a replica hand on its status, which confirms commits as well as an own probe does. So
-/// a proxy that alone cannot reach it drops it only when no sibling answers either.
+/// Siblings that reach a replica report its status, which confirms commits just as this VM's own probe does,
+/// so that the replica does not lag. A proxy that alone cannot reach it thus removes it only if no sibling
+/// reports on it either, and waits twice as long while there is no answer of siblings at all.
 bool FailoverCoordinator::hasFallenBehind(const SlotMonitor& replica) const
 {
     const auto* primary = this->find(this->record().primary);
@@ -141,8 +142,9 @@
     return timeBehind >= (hasSiblingReport ? bound : bound * 2);
 }
 
-/// Growing the set takes a new term of the same primary. Views of the term before then stop being good for
-/// new commits by themselves, however old or paused their holder is: a commit of the new term shows it.
+/// Adding a replica to the in-sync set requires a new term of the same primary. Views of the previous term
+/// then no longer confirm new commits, however outdated or paused the proxy that holds them is, because those
+/// commits carry the new term.
 void FailoverCoordinator::rejoinCaughtUpReplicas()
 {
     if (this->usesMajority() || this->pendingSwap || !this->isServing())
--- a/src/failover/group_record.cpp
+++ b/src/failover/group_record.cpp
@@ -25,7 +25,7 @@
 {
     wire::GroupRecord message;
     if (!message.ParseFromArray(value.data(), static_cast<int>(value.size())) || message.primary().empty())
-        throw FailoverError { "the record of the group cannot be read" };
+        throw FailoverError { "the group record is malformed or has no primary" };
     GroupRecord record;
     record.term = Term { message.term() };
     record.servingTerm = Term { message.serving_term() };
--- a/src/failover/primary_selection.cpp
+++ b/src/failover/primary_selection.cpp
@@ -28,7 +28,7 @@
         = std::max_element(candidates.begin(), candidates.end(), [&](const auto& left, const auto& right) {
               if (left.second != right.second)
                   return left.second < right.second;
-              // Of equals the current primary, since nothing then has to follow another.
+              // Prefer the current primary among equals, so that no replica has to change its source.
               return right.first == current && left.first != current;
           });
     if (best == candidates.end())
@@ -36,9 +36,10 @@
     return best->first;
 }
 
-/// Three slots or more: each acknowledged commit is on a majority, so any majority of fenced slots has one
-/// that holds it, and the most advanced log of them holds all. Avoided slots may be left out only if the rest
-/// is a majority still; otherwise the one left out could be the only holder.
+/// Groups of three or more slots: each acknowledged commit is on a majority, so any majority of fenced slots
+/// contains one that holds it, and the most advanced log among them holds every acknowledged commit. Avoided
+/// slots are excluded only if the remaining slots are still a majority; otherwise an excluded slot could be
+/// the only holder of a commit.
 std::optional<SlotName> selectByMajority(const PrimarySelectionInput& input)
 {
     const auto majority = majorityOf(input.slots.size());
@@ -48,10 +49,10 @@
     return mostAdvanced(preferred.size() >= majority ? preferred : input.fenced, input.record.primary);
 }
 
-/// Fewer slots: each member of the in-sync set holds every commit that was acknowledged in the serving term,
-/// but only once it is in that term. One that was added and has not come so far may lack what was
-/// acknowledged without it in the term before. The primary holds all by itself, also when it was chosen and
-/// not yet promoted.
+/// Smaller groups: a member of the in-sync set holds every acknowledged commit, but only once its log has
+/// reached the serving term. A member that was added and has not reached that term may lack commits that were
+/// acknowledged without it in the previous term. The primary always holds every acknowledged commit, even if
+/// it was selected but not yet promoted.
 std::optional<SlotName> selectByInSyncSet(const PrimarySelectionInput& input)
 {
     Candidates eligible;
--- a/src/failover/promotion.cpp
+++ b/src/failover/promotion.cpp
@@ -1,4 +1,5 @@
-// The part of FailoverCoordinator that replaces a primary: claim a term, fence, choose.
+// FailoverCoordinator: replacing a primary by claiming a term, fencing the slots and selecting the new
+// primary.
 #include <cyclamendrift/failover/failover_coordinator.h>
 
 #include <cyclamendrift/failover/primary_selection.h>
@@ -33,8 +34,8 @@
     return this->isDown(primary) || this->hasSteppedDown(primary);
 }
 
-/// It answers, but not as the primary of the term, and orders to become it have not helped: it was restarted,
-/// or fenced by a promoter whose claim is no longer in the record.
+/// True if the primary answers but does not act as primary of the serving term, although it has been told to:
+/// it was restarted, or fenced by a promoter whose claim is no longer in the record.
 bool FailoverCoordinator::hasSteppedDown(const SlotMonitor& primary) const
 {
     const auto maxWait = this->options.settings.takeoverAfter + this->rankDelay();
@@ -42,9 +43,9 @@
         && this->now - *primary.notActingSince >= maxWait;
 }
 
-/// It takes writes that no replica gets, for instance when the network between primary and replicas is cut
-/// but proxies reach all of them. No commit can be acknowledged, while one of the replicas could serve. A
-/// group of two drops the replica from its in-sync set instead.
+/// True if the primary accepts writes that no replica receives, for instance because the network between
+/// primary and replicas has failed while the proxies reach all of them. No commit can then be acknowledged,
+/// although a replica could serve. A group of two removes the replica from the in-sync set instead.
 bool FailoverCoordinator::isStalled(const SlotMonitor& primary) const
 {
     const auto maxWait = this->options.settings.stallAfter + this->rankDelay();
@@ -65,8 +66,9 @@
     });
 }
 
-/// A promoter that dies half-way leaves the term claimed and the group without a primary. Whoever notices
-/// that the record stands still claims a higher term; the first one's late acts then have no effect.
+/// A promoter that fails during a promotion leaves the term claimed and the group without a primary. Any home
+/// proxy that sees the record unchanged for too long claims a higher term; late calls of the first promoter
+/// then have no effect.
 void FailoverCoordinator::takeOverPromotionIfStalled()
 {
     const auto maxWait = this->options.settings.takeoverAfter + this->rankDelay();
@@ -74,8 +76,8 @@
         this->claimTerm(Purpose::ReplacePrimary, this->leaving, {});
 }
 
-/// A term is claimed only when the slots needed to finish can be reached: a claim stops nothing by itself,
-/// but the fences that follow would stop a primary that still serves.
+/// A term is claimed only if the slots that are needed to complete the promotion can be reached: the claim
+/// itself does not interrupt service, but the fences that follow would stop a primary that still serves.
 bool FailoverCoordinator::enoughSlotsReachable(const std::vector<SlotName>& avoided) const
 {
     PrimarySelectionInput input { .record = this->record(), .slots = this->options.slots };
@@ -133,7 +135,7 @@
         this->writeSelection(*selected);
 }
 
-/// One more answer may show a log that is further, with commits whose callers still wait.
+/// Another slot may have a more advanced log, with commits whose callers are still waiting for an answer.
 bool FailoverCoordinator::othersMayStillAnswer()
 {
     return std::any_of(this->slots.begin(), this->slots.end(), [this](const SlotMonitor& slot) {
--- a/src/failover/slot_monitor.cpp
+++ b/src/failover/slot_monitor.cpp
@@ -39,7 +39,7 @@
 
 void SlotMonitor::onSiblingsAnswered(const SiblingsAnswered& answer)
 {
-    // An answer from before the slot last spoke to this VM says nothing of its silence.
+    // Reports requested before the slot last answered this VM say nothing about the time since then.
     if (answer.askedAt > this->lastAnswerAt)
         this->lastSiblingsAnswer = answer;
 }
@@ -47,7 +47,7 @@
 const SlotStatus& SlotMonitor::status() const
 {
     if (!this->newestSample)
-        throw FailoverError { "the slot has given no status yet" };
+        throw FailoverError { "the slot has not returned a status yet" };
     return this->newestSample->status;
 }
 
@@ -70,7 +70,7 @@
 
 void SlotMonitor::acceptSample(const StatusSample& sample)
 {
-    // Several connections and siblings bring statuses out of order; an older one must not hide a fence.
+    // Statuses from several connections and siblings arrive out of order; an older one must not hide a fence.
     if (this->newestSample && sample.askedAt < this->newestSample->askedAt)
         return;
     if (!this->newestSample || this->newestSample->status.progress != sample.status.progress)
--- a/tests/failover/failover_property_test.cpp
+++ b/tests/failover/failover_property_test.cpp
@@ -26,7 +26,7 @@
 };
 constexpr int faultKindCount = 12;
 
-/// A fault that begins and, unless everything is healed before, ends.
+/// A fault with its start and duration; the end of the fault phase ends it early.
 struct Fault {
     FaultKind kind {};
     std::size_t target = 0;
@@ -145,7 +145,7 @@
 }
 
 constexpr Duration faultPhase = 10s;
-/// The brief allows 11 s; a second is left for what an acknowledgement takes after it.
+/// Service must resume within 11 s of the last fault: 10 s to recover and 1 s to acknowledge a new write.
 constexpr Duration recoveryTime = 10s;
 
 void checkRandomFaults(std::size_t slots)
@@ -180,17 +180,17 @@
 
 TEST_SUITE("failover under random faults")
 {
-    // Slots die and are cut off, the store is down or loses its answers, homes are paused, cut off and
-    // killed, in any order and at once. A user may have to wait, but nothing that was acknowledged is lost,
-    // sessions read their writes and never go back, bounds on age hold, and service resumes when the faults
-    // end.
-    TEST_CASE("no interleaving of faults breaks a group of three")
+    // Slots fail or are isolated, the store is down or loses answers, and home proxies are paused, cut off or
+    // killed, in any order and combination. Callers may have to wait, but no acknowledged write is lost,
+    // sessions read their writes and never go back, staleness bounds hold, and service resumes after the
+    // faults end.
+    TEST_CASE("a group of three keeps its guarantees under any interleaving of faults")
     {
         checkProperty("three slots", [] { checkRandomFaults(3); });
     }
 
     // The same with one replica, where the in-sync set has to shrink and grow again between the faults.
-    TEST_CASE("no interleaving of faults breaks a group of two")
+    TEST_CASE("a group of two keeps its guarantees under any interleaving of faults")
     {
         checkProperty("two slots", [] { checkRandomFaults(2); });
     }
--- a/tests/failover/failover_test.cpp
+++ b/tests/failover/failover_test.cpp
@@ -21,7 +21,7 @@
     return { .term = Term { term }, .position = LogPosition { position } };
 }
 
-/// A group that has been serving for a while.
+/// Returns a group that has been serving for 6 s.
 GroupSimulation makeServingGroup(std::size_t slots, std::size_t observers = 1)
 {
     GroupSimulation simulation { { .slots = slots, .observers = observers } };
@@ -46,11 +46,11 @@
 
 } // namespace
 
-TEST_SUITE("choice of a primary")
+TEST_SUITE("primary selection")
 {
-    // One of the replicas is behind when the primary fails. Promoted, it would
-    // lose what only the other holds.
-    TEST_CASE("the most advanced of a fenced majority is chosen")
+    // One of the replicas lags when the primary fails. Promoting it would lose commits that only the other
+    // replica holds.
+    TEST_CASE("the most advanced slot of a fenced majority is selected")
     {
         const PrimarySelectionInput input {
             .record = { .primary = a }, .slots = { a, b, c }, .fenced = { { b, at(1, 8) }, { c, at(1, 9) } }
@@ -60,9 +60,9 @@
         CHECK(selectPrimary({ .slots = { a, b, c }, .fenced = { { b, at(2, 3) }, { c, at(1, 9) } } }) == b);
     }
 
-    // A leaving primary is the only slot of the fenced two that is sure to hold a
-    // commit which the third confirmed. Avoiding it would lose that commit.
-    TEST_CASE("an avoided slot is left out only when the others are enough")
+    // A leaving primary is the only one of two fenced slots that is certain to hold a commit which the third
+    // slot confirmed. Excluding it would lose that commit.
+    TEST_CASE("an avoided slot is excluded only if the other slots suffice")
     {
         PrimarySelectionInput input { .record = { .primary = a },
             .slots = { a, b, c },
@@ -73,11 +73,11 @@
         CHECK(selectPrimary(input) == c);
     }
 
-    // The replica of two fell behind and left the in-sync set; then the primary
-    // dies with commits that it acknowledged alone. Better to wait for the
-    // primary than to lose them.
-    TEST_CASE("a dropped member is never chosen, nor one that has not caught up "
-              "since it joined")
+    // In a group of two, the replica lagged and was removed from the in-sync set; then the primary fails with
+    // commits that it acknowledged alone. Promoting the replica would lose them, so the group waits for the
+    // primary.
+    TEST_CASE("a replica is never selected if it was removed from the in-sync set "
+              "or has not caught up since it joined")
     {
         PrimarySelectionInput input {
             .record = { .servingTerm = Term { 2 }, .primary = a, .inSync = { a } },
@@ -93,7 +93,8 @@
         CHECK(selectPrimary(input) == a);
     }
 
-    TEST_CASE("a record comes back whole, and garbage is refused")
+    // A record that is misread would name the wrong primary or in-sync set.
+    TEST_CASE("a group record survives encoding, and malformed input throws FailoverError")
     {
         const GroupRecord record { .term = Term { 4 },
             .servingTerm = Term { 3 },
@@ -110,10 +111,9 @@
 
 TEST_SUITE("failover")
 {
-    // The primary's VM dies at three in the morning and nobody is there to order
-    // a promotion. Callers wait a moment and go on; nothing acknowledged is gone,
-    // and the old primary follows when it is back.
-    TEST_CASE("a killed primary is replaced within seconds")
+    // The VM of the primary fails without an operator to order a promotion. Writes must resume without the
+    // loss of an acknowledged commit, and the old primary must follow the new one when it returns.
+    TEST_CASE("a failed primary is replaced within 3 s and follows when it returns")
     {
         for (const std::size_t slots : { 2U, 3U }) {
             CAPTURE(slots);
@@ -133,16 +133,16 @@
         }
     }
 
-    // A proxy's own network breaks, so it sees the primary silent. Its siblings
-    // see it well; replacing it would stop every caller for the fault of one VM.
-    TEST_CASE("one proxy that cannot reach the primary replaces nothing")
+    // The network of one proxy fails, so that it gets no answer from the primary, while its siblings do.
+    // Replacing the primary would interrupt every caller because of a fault of one VM.
+    TEST_CASE("a primary that only one proxy cannot reach is not replaced")
     {
         auto simulation = makeServingGroup(3);
-        SUBCASE("it reaches its siblings")
+        SUBCASE("the proxy reaches its siblings")
         {
             simulation.cut(GroupSimulation::proxy(0), GroupSimulation::slot(0));
         }
-        SUBCASE("it is cut off from them as well")
+        SUBCASE("the proxy cannot reach its siblings either")
         {
             simulation.cut(GroupSimulation::proxy(0), GroupSimulation::slot(0));
             simulation.cut(GroupSimulation::proxy(0), GroupSimulation::proxy(1));
@@ -154,11 +154,11 @@
         checkGroupServes(simulation);
     }
 
-    // The primary lives on, cut off from its group, and half of the proxies still
-    // reach it and send it writes. None of these may be acknowledged once another
-    // slot was promoted, and the others go on.
-    TEST_CASE("a primary that is cut off with half of the proxies acknowledges "
-              "nothing after its time")
+    // The primary is alive but isolated from its group, and one of two home proxies still sends writes to it.
+    // None of these may be acknowledged after another slot was promoted, and the other home proxy must
+    // continue to serve.
+    TEST_CASE("a primary isolated with one home proxy acknowledges "
+              "nothing once another slot was promoted")
     {
         for (const std::size_t slots : { 2U, 3U }) {
             CAPTURE(slots);
@@ -168,8 +168,8 @@
                 simulation.cut(GroupSimulation::proxy(1), GroupSimulation::slot(index));
             simulation.cut(GroupSimulation::proxy(0), GroupSimulation::slot(0));
             simulation.cut(GroupSimulation::proxy(2), GroupSimulation::slot(0));
-            SUBCASE("the home beside it reaches the store") { }
-            SUBCASE("that home is cut off from the store as well")
+            SUBCASE("that home proxy reaches the store") { }
+            SUBCASE("that home proxy cannot reach the store either")
             {
                 simulation.cut(GroupSimulation::proxy(1), GroupSimulation::store());
             }
@@ -181,10 +181,10 @@
         }
     }
 
-    // Half of the proxies reach the primary and its replicas follow it, but the
-    // others have it replaced. The replicas must leave it before another slot is
-    // promoted, or both would confirm commits.
-    TEST_CASE("a primary with its replicas behind it is fenced before another is promoted")
+    // One of two home proxies reaches the primary, and the replicas still follow it, while the other home
+    // proxy replaces it. Unless the replicas are fenced before another slot is promoted, both primaries could
+    // get commits confirmed.
+    TEST_CASE("a primary whose replicas follow it is fenced before another slot is promoted")
     {
         GroupSimulation simulation { { .slots = 3, .writeInterval = 10ms } };
         simulation.runFor(6s);
@@ -193,17 +193,17 @@
         for (int step = 0; step < 8000 && simulation.promotions() == 1; ++step)
             simulation.runFor(1ms);
         REQUIRE(simulation.promotions() == 2);
-        // The promoter stops before it tells the others whom to follow.
+        // The promoter pauses before it makes the other slots follow the new primary.
         simulation.pause(0, 3s);
         simulation.runFor(4s);
         checkGroupServes(simulation);
     }
 
-    // A home knows that the primary of two stands alone, then loses the store and
-    // does not learn that the replica has joined again. What it acknowledges by
-    // its old view must not be lost with the primary.
-    TEST_CASE("a home with an old view acknowledges nothing alone after the "
-              "replica has joined again")
+    // In a group of two, a home proxy knows that the in-sync set is the primary alone, then loses the store
+    // and does not learn that the replica has rejoined. A commit that it acknowledged by its outdated view
+    // would be lost with the primary.
+    TEST_CASE("an outdated view acknowledges no commit on the primary alone after "
+              "the replica has rejoined")
     {
         auto simulation = makeServingGroup(2);
         simulation.kill(1);
@@ -221,9 +221,9 @@
         CHECK(simulation.violations().empty());
     }
 
-    // Proxies reach every slot, but the primary reaches no replica any more.
-    // Writes hang although two slots that could serve them are there.
-    TEST_CASE("a primary that no replica follows is replaced")
+    // The proxies reach every slot, but the primary is isolated from its replicas. Writes would wait although
+    // two slots could serve them.
+    TEST_CASE("a primary that is isolated from its replicas is replaced")
     {
         auto simulation = makeServingGroup(3);
         simulation.isolate(0);
@@ -232,14 +232,13 @@
         checkGroupServes(simulation);
     }
 
-    // Of two slots the replica dies or falls far behind. Writes wait a bounded
-    // time, then go on without it; when the primary fails as well, the replica
-    // must not be promoted.
-    TEST_CASE("a lost replica of two holds writes up for a bounded time and is "
-              "not promoted then")
+    // In a group of two, the replica fails or lags far behind. Writes must continue without it after a
+    // bounded time. If the primary then fails as well, promoting the replica would lose commits.
+    TEST_CASE("a failed replica of two delays writes for a bounded time and is "
+              "not promoted afterwards")
     {
         auto simulation = makeServingGroup(2);
-        SUBCASE("it dies") { simulation.kill(1); }
+        SUBCASE("it fails") { simulation.kill(1); }
         SUBCASE("it lags") { simulation.slotAt(1).lag = 30s; }
         simulation.runFor(2s);
         checkGroupServes(simulation);
@@ -255,11 +254,11 @@
         CHECK(simulation.record()->inSync.size() == 2);
     }
 
-    // The store is down. A group goes on serving and acknowledging without it; a
-    // primary that fails then stays failed, since without a record two proxies
-    // could each promote a different slot.
-    TEST_CASE("with the store down writes go on, and a failed primary is "
-              "replaced when it is back")
+    // While the store is down, a group must continue to acknowledge writes. A primary that fails meanwhile
+    // must not be replaced before the store is back, since without the record two proxies could promote
+    // different slots.
+    TEST_CASE("writes continue while the store is down, and a failed primary is "
+              "replaced once it is back")
     {
         for (const std::size_t slots : { 2U, 3U }) {
             CAPTURE(slots);
@@ -277,10 +276,9 @@
         }
     }
 
-    // Half of the store's answers are lost after the change took effect, or the
-    // change takes effect late. The promoter must recognise its own change
-    // instead of fighting itself.
-    TEST_CASE("lost answers of the store neither stop nor double a promotion")
+    // Half of the store's answers are lost after the change took effect, and some changes take effect late. A
+    // promoter that does not recognise its own change would compete with itself.
+    TEST_CASE("lost store answers neither block nor repeat a promotion")
     {
         auto simulation = makeServingGroup(3);
         simulation.storeLosesAnswers = true;
@@ -289,9 +287,9 @@
         checkGroupServes(simulation);
     }
 
-    // The answer to a claim is lost, though the claim stands in the record. Taken for another's, it would be
-    // waited for until it is taken over, while everybody holds their work.
-    TEST_CASE("a claim whose answer was lost is recognised and carried on")
+    // The answer to a claim is lost, although the record contains the claim. If the promoter took it for the
+    // claim of another VM, all proxies would hold their work until the promotion is taken over.
+    TEST_CASE("a claim whose answer was lost is recognised and completed")
     {
         for (std::uint64_t seed = 1; seed <= 6; ++seed) {
             CAPTURE(seed);
@@ -309,9 +307,9 @@
         }
     }
 
-    // A promoter stops between its decision and its act, long enough for another
-    // to finish in a higher term. When it wakes, its orders must change nothing.
-    TEST_CASE("a paused promoter's late orders are harmless")
+    // A promoter is paused between a decision and the call that carries it out, long enough for another
+    // promoter to complete a higher term. Its late calls must not change anything.
+    TEST_CASE("late calls of a paused promoter have no effect")
     {
         for (const auto before : { 100ms, 702ms, 720ms, 730ms, 740ms }) {
             CAPTURE(before.count());
@@ -326,9 +324,9 @@
         }
     }
 
-    // A promoter dies half-way, with the next term claimed and the slots fenced.
-    // Nobody serves until another home takes over.
-    TEST_CASE("a promoter that dies half-way is taken over")
+    // A promoter fails after it has claimed the next term. The group has no primary until another home proxy
+    // takes over.
+    TEST_CASE("a promotion is taken over when its promoter fails")
     {
         auto simulation = makeServingGroup(3);
         simulation.kill(0);
@@ -342,8 +340,8 @@
         checkGroupServes(simulation);
     }
 
-    // Both homes act at once.
-    TEST_CASE("two promoters at once leave one primary")
+    // Without a rank delay both home proxies start a promotion at the same time.
+    TEST_CASE("two concurrent promoters leave one primary")
     {
         GroupSimulation::Options options { .slots = 3 };
         options.settings.rankDelay = 0s;
@@ -355,9 +353,8 @@
         checkGroupServes(simulation);
     }
 
-    // The platform says that the primary's VM is leaving. Its work moves before
-    // it is gone.
-    TEST_CASE("a leaving primary hands over")
+    // The platform announces that the primary's VM is leaving. Waiting for its end would interrupt writes.
+    TEST_CASE("a primary on a leaving VM is replaced while it still answers")
     {
         for (const std::size_t slots : { 2U, 3U }) {
             CAPTURE(slots);
@@ -369,9 +366,9 @@
         }
     }
 
-    // A home that was started while the store was down knows no record and cannot
-    // tell who is primary.
-    TEST_CASE("the first record is made once, from what the slots say")
+    // A home proxy that starts while the store is down has no record and does not know which slot is the
+    // primary.
+    TEST_CASE("the first record is created once the store answers, from the statuses of the slots")
     {
         GroupSimulation simulation { { .slots = 2 } };
         simulation.storeUp = false;
@@ -383,8 +380,8 @@
         checkGroupServes(simulation);
     }
 
-    // A home dies together with the primary, as when one host carries both.
-    TEST_CASE("the second home replaces the primary when the first home dies with it")
+    // A home proxy and the primary fail together, as when both run on the same VM.
+    TEST_CASE("the second home proxy replaces the primary when the first fails with it")
     {
         for (const std::size_t slots : { 2U, 3U }) {
             CAPTURE(slots);
@@ -397,9 +394,9 @@
         }
     }
 
-    // Nothing is wrong. Neither the replicas' lag nor a pause of a home is a
-    // reason to change anything.
-    TEST_CASE("a healthy group keeps its primary, also when a home stops for a while")
+    // The slots are healthy. Neither a paused home proxy nor one that cannot reach the slots is a reason to
+    // replace the primary.
+    TEST_CASE("a healthy group keeps its primary while a home proxy is paused or cut off")
     {
         auto simulation = makeServingGroup(3);
         simulation.pause(0, 4s);
--- a/tests/failover/group_simulation.cpp
+++ b/tests/failover/group_simulation.cpp
@@ -87,7 +87,7 @@
 void GroupSimulation::killProxy(std::size_t proxyIndex)
 {
     this->proxies[proxyIndex].alive = false;
-    // Their connections break, so these sessions know that they must not wait.
+    // The connections of these sessions are closed, so they stop waiting at once.
     for (auto& session : this->sessions) {
         if (session.home != proxyIndex)
             continue;
@@ -159,7 +159,7 @@
         [&](const Acknowledged& acknowledged) { return acknowledged.sentAt >= instant; });
 }
 
-// The network
+// Network
 
 void GroupSimulation::at(Instant when, Task task)
 {
@@ -178,7 +178,8 @@
     return std::chrono::microseconds { micros(this->random) };
 }
 
-/// Runs a task in a proxy, after its pause if it is paused; never in a later life of it.
+/// Runs a task in a proxy, after its pause if it is paused. The task is dropped if the proxy is killed or
+/// restarted.
 void GroupSimulation::runOnProxy(std::size_t index, Task task)
 {
     const auto incarnation = this->proxies[index].incarnation;
@@ -242,7 +243,7 @@
     });
 }
 
-/// A store that loses answers may also take up a call late, after its caller has given up.
+/// A store that loses answers may also carry out a call late, after its caller has given up.
 void GroupSimulation::callStore(
     std::size_t proxyIndex, bool isOrder, Task effect, std::function<void(bool answered)> answer)
 {
@@ -286,7 +287,7 @@
         this->at(this->clock + this->slots[index].lag, [this, index] { this->replicate(index); });
 }
 
-// The proxies
+// Proxies
 
 void GroupSimulation::startProxy(std::size_t index)
 {
--- a/tests/failover/group_simulation.h
+++ b/tests/failover/group_simulation.h
@@ -18,36 +18,37 @@
 #include <utility>
 #include <vector>
 
-/// One database group, the store and a few proxies in virtual time, with the network between them and
-/// sessions that write and read. It keeps its own account of what was acknowledged and notes every breach.
+/// Simulation in virtual time of one database group, the store and a few proxies, with the network between
+/// them and sessions that write and read. Records the acknowledged writes itself and checks every guarantee
+/// against them.
 class GroupSimulation {
 public:
     struct Options {
         std::size_t slots = 3;
         std::size_t homes = 2;
-        /// Siblings that only give opinions.
+        /// Siblings without a coordinator, which only report on slots.
         std::size_t observers = 1;
         std::uint64_t seed = 1;
         cyclamendrift::Duration replicaLag = std::chrono::milliseconds { 2 };
         cyclamendrift::Duration writeInterval = std::chrono::milliseconds { 100 };
         cyclamendrift::Duration readInterval = std::chrono::milliseconds { 50 };
         cyclamendrift::Duration patience = std::chrono::milliseconds { 5 };
-        /// Each event reaches a coordinator a second time, later, with this chance in 100.
+        /// Percentage of events that reach a coordinator a second time, later.
         unsigned duplicatesInHundred = 0;
         bool readsFromPrimaryOnly = false;
         std::size_t sessions = 16;
-        /// How long a caller waits, and its request may be held.
+        /// How long a caller waits for an answer, and for how long its request may be held.
         cyclamendrift::Duration callerTimeout = std::chrono::seconds { 1 };
         cyclamendrift::FailoverSettings settings;
     };
-    /// An end of a link.
+    /// One end of a network link.
     struct Endpoint {
         enum class Kind : std::uint8_t { Proxy, Slot, Store };
         Kind kind = Kind::Store;
         std::size_t index = 0;
         friend auto operator<=>(const Endpoint&, const Endpoint&) = default;
     };
-    /// When a failover reached its steps; the last of each.
+    /// Times at which the last failover reached its steps.
     struct Timeline {
         std::optional<cyclamendrift::Instant> claimed;
         std::optional<cyclamendrift::Instant> chosen;
@@ -61,7 +62,7 @@
     struct ReadCounts {
         std::uint64_t replica = 0;
         std::uint64_t primary = 0;
-        /// How long each took from its arrival at the home.
+        /// Duration of each read from its arrival at the home proxy.
         std::vector<cyclamendrift::Duration> took;
     };
 
@@ -74,12 +75,12 @@
     void runFor(cyclamendrift::Duration duration);
     void cut(Endpoint one, Endpoint other);
     void heal(Endpoint one, Endpoint other);
-    /// Cuts a slot from the other slots.
+    /// Cuts the links of a slot to the other slots.
     void isolate(std::size_t index);
     void kill(std::size_t slotIndex);
     void revive(std::size_t slotIndex);
     void pause(std::size_t proxyIndex, cyclamendrift::Duration duration);
-    /// Its next order to a slot or the store waits this long, with all else that it does.
+    /// Pauses the proxy for this long just before its next order to a slot or change in the store.
     void pauseBeforeNextOrder(std::size_t proxyIndex, cyclamendrift::Duration duration);
     void killProxy(std::size_t proxyIndex);
     void restartProxy(std::size_t proxyIndex);
@@ -88,7 +89,7 @@
 
     bool storeUp = true;
     bool storeLosesAnswers = false;
-    /// Lets the sessions write and read.
+    /// True while the sessions write and read.
     bool workload = true;
 
     [[nodiscard]] const std::vector<std::string>& violations() const { return this->violationList; }
@@ -100,9 +101,9 @@
     [[nodiscard]] const cyclamendrift::GroupView& viewOf(std::size_t proxyIndex) const;
     [[nodiscard]] std::optional<cyclamendrift::GroupRecord> record() const;
     [[nodiscard]] std::size_t promotions() const { return this->primaryTerms.size(); }
-    /// Index of the slot that reigns last.
+    /// Index of the slot that was promoted in the highest term.
     [[nodiscard]] std::size_t primaryIndex() const;
-    /// True when a write that was sent after an instant has been acknowledged.
+    /// True if a write that was sent at or after `instant` has been acknowledged.
     [[nodiscard]] bool acknowledgedSince(cyclamendrift::Instant instant) const;
 
 private:
@@ -119,12 +120,12 @@
     struct Session {
         cyclamendrift::Progress seen;
         std::set<std::uint64_t> known;
-        /// It does one thing after the other, at this home.
+        /// A session runs one operation at a time, at this home proxy.
         bool busy = false;
         std::size_t home = 0;
         std::uint64_t operation = 0;
     };
-    /// Who waits for an answer; one who has given up is not told any more.
+    /// The operation that waits for an answer. Once the session has given up, answers to it are ignored.
     struct Caller {
         std::size_t session = 0;
         std::uint64_t operation = 0;
@@ -150,7 +151,7 @@
         std::size_t slot = 0;
     };
 
-    // The network.
+    // Network.
     void at(cyclamendrift::Instant when, Task task);
     [[nodiscard]] bool isLinked(Endpoint one, Endpoint other) const;
     cyclamendrift::Duration networkLatency();
@@ -164,7 +165,7 @@
     void replicate(std::size_t index);
     void replicateAll();
 
-    // The proxies.
+    // Proxies.
     void startProxy(std::size_t index);
     void tick(std::size_t index);
     void deliver(std::size_t index, const cyclamendrift::FailoverEvent& event);
@@ -179,7 +180,7 @@
     void settle(std::size_t index);
     [[nodiscard]] std::size_t indexOf(const cyclamendrift::SlotName& name) const;
 
-    // The sessions.
+    // Sessions.
     void writeLoop();
     void readLoop();
     void poll(std::size_t proxyIndex);
--- a/tests/failover/group_simulation_sessions.cpp
+++ b/tests/failover/group_simulation_sessions.cpp
@@ -227,7 +227,7 @@
         });
 }
 
-// The account
+// Checks of the guarantees
 
 void GroupSimulation::recordAcknowledgedWrite(
     Caller caller, std::uint64_t write, Instant sentAt, Progress progress)
@@ -240,8 +240,8 @@
     }
     this->acknowledgedWrites.push_back({ .write = write, .sentAt = sentAt, .at = this->clock });
     if (!this->slots[this->primaryIndex()].holds(write))
-        this->recordViolation(
-            "write " + std::to_string(write) + " was acknowledged although a later primary lacks it");
+        this->recordViolation("write " + std::to_string(write)
+            + " was acknowledged although the newest primary does not hold it");
 }
 
 void GroupSimulation::checkRead(
@@ -253,7 +253,7 @@
     this->endOperation(caller);
     session.seen = std::max(session.seen, seen);
     if (!std::includes(rows.begin(), rows.end(), session.known.begin(), session.known.end()))
-        this->recordViolation("a session did not read what it had written or read before");
+        this->recordViolation("a session did not read a write that it had written or read before");
     session.known = rows;
     auto upTo = Instant::min();
     if (std::holds_alternative<PrimaryRead>(access))
@@ -262,7 +262,7 @@
         upTo = this->clock - staleness;
     for (const auto& acknowledged : this->acknowledgedWrites) {
         if (acknowledged.at <= upTo && !rows.contains(acknowledged.write)) {
-            this->recordViolation("a read was older than its bound");
+            this->recordViolation("a read was staler than its bound");
             return;
         }
     }
--- a/tests/failover/simulated_slot.h
+++ b/tests/failover/simulated_slot.h
@@ -9,8 +9,8 @@
 #include <optional>
 #include <vector>
 
-/// A slot as the contract with the platform describes it: a log, a fence, and replication that drops what the
-/// primary does not have.
+/// Simulated slot that behaves as the contract with the platform requires: a log, a fence, and replication
+/// that drops log entries which the primary does not have.
 struct SimulatedSlot {
     struct LogEntry {
         cyclamendrift::Term term {};
@@ -43,7 +43,7 @@
             this->primary = false;
     }
 
-    /// False when the slot refuses.
+    /// Returns false if the slot rejects the promotion.
     bool promote(cyclamendrift::Term term, cyclamendrift::Instant now)
     {
         const bool acting = this->primary && this->log.back().term == term;
@@ -85,7 +85,7 @@
             && source.primary && source.log.back().term == this->followingTerm;
     }
 
-    /// Takes over what is due; returns when more will be.
+    /// Copies the log entries whose lag has passed; returns when the next one is due, if any.
     std::optional<cyclamendrift::Instant> replicateFrom(
         const SimulatedSlot& source, cyclamendrift::Instant now)
     {
