--- a/include/cyclamendrift/failover/failover_coordinator.h
+++ b/include/cyclamendrift/failover/failover_coordinator.h
@@ -126,7 +126,7 @@
     void shrinkInSyncSetIfNeeded();
     void rejoinCaughtUpReplicas();
     [[nodiscard]] bool isServing() const;
-    void publish();
+    void publishViewIfChanged();
 
     void advance();
     [[nodiscard]] const GroupRecord& record() const;
--- a/src/failover/failover_coordinator.cpp
+++ b/src/failover/failover_coordinator.cpp
@@ -43,7 +43,7 @@
 {
     this->readRecordIfDue();
     this->advance();
-    this->publish();
+    this->publishViewIfChanged();
     return std::exchange(this->actions, {});
 }
 
@@ -312,17 +312,17 @@
         return false;
     if (siblingsAnswer->asked == 0)
         return true;
-    const auto count = static_cast<std::size_t>(siblingsAnswer->opinions.size());
-    const auto reaching = static_cast<std::size_t>(std::count_if(siblingsAnswer->opinions.begin(),
+    const auto reportCount = static_cast<std::size_t>(siblingsAnswer->opinions.size());
+    const auto reachableCount = static_cast<std::size_t>(std::count_if(siblingsAnswer->opinions.begin(),
         siblingsAnswer->opinions.end(), [](const SlotOpinion& opinion) { return opinion.reachable; }));
-    const auto failing = count - reaching;
+    const auto unreachableCount = reportCount - reachableCount;
     constexpr std::size_t minAgreeingSiblings = 2;
-    if (reaching == 0 && failing >= std::min(minAgreeingSiblings, siblingsAnswer->asked))
+    if (reachableCount == 0 && unreachableCount >= std::min(minAgreeingSiblings, siblingsAnswer->asked))
         return true;
     // Some siblings reach the slot and some do not: this home proxy, which has to serve callers, cannot reach
     // it either.
-    return slot.timeSinceAnswer(this->now) >= settings.contestedAfter && failing > 0
-        && failing + 1 >= reaching;
+    return slot.timeSinceAnswer(this->now) >= settings.contestedAfter && unreachableCount > 0
+        && unreachableCount + 1 >= reachableCount;
 }
 
 const GroupRecord& FailoverCoordinator::record() const
@@ -395,7 +395,7 @@
     return highest;
 }
 
-void FailoverCoordinator::publish()
+void FailoverCoordinator::publishViewIfChanged()
 {
     GroupView view { .slots = this->options.slots, .leaving = this->leaving };
     if (this->current) {
--- a/src/failover/group_maintenance.cpp
+++ b/src/failover/group_maintenance.cpp
@@ -138,8 +138,8 @@
     if (this->isDown(replica))
         return true;
     const auto timeBehind = replica.timeBehind(this->now);
-    const bool hasSiblingReport = this->isResponsive(replica) || replica.siblingsAnswer().has_value();
-    return timeBehind >= (hasSiblingReport ? bound : bound * 2);
+    const bool hasRecentAnswer = this->isResponsive(replica) || replica.siblingsAnswer().has_value();
+    return timeBehind >= (hasRecentAnswer ? bound : bound * 2);
 }
 
 /// Adding a replica to the in-sync set requires a new term of the same primary. Views of the previous term
--- a/src/failover/promotion.cpp
+++ b/src/failover/promotion.cpp
@@ -147,16 +147,17 @@
 {
     auto record = this->record();
     const auto& own = this->ownAttempt();
-    const bool samePrimary = record.primary == selected;
+    const bool keepsPrimary = record.primary == selected;
     record.servingTerm = own.term;
     record.primary = selected;
     record.base = own.fenced.at(selected);
     record.inSync = { selected };
-    const bool addsReplica = own.purpose == Purpose::AddReplica && samePrimary;
+    const bool addsReplica = own.purpose == Purpose::AddReplica && keepsPrimary;
     for (const auto& slot : this->options.slots) {
         const auto& joining = own.joining;
-        const bool joins = addsReplica && std::find(joining.begin(), joining.end(), slot) != joining.end();
-        if (slot != selected && (this->usesMajority() || (joins && own.fenced.contains(slot))))
+        const bool isJoining
+            = addsReplica && std::find(joining.begin(), joining.end(), slot) != joining.end();
+        if (slot != selected && (this->usesMajority() || (isJoining && own.fenced.contains(slot))))
             record.inSync.push_back(slot);
     }
     this->swap(std::move(record));
--- a/tests/failover/failover_property_test.cpp
+++ b/tests/failover/failover_property_test.cpp
@@ -17,7 +17,7 @@
     CutHomeFromStore,
     CutHomes,
     PauseHome,
-    PauseHomeBeforeOrder,
+    PauseHomeBeforeNextOrder,
     KillHome,
     StoreDown,
     StoreLosesAnswers,
@@ -32,17 +32,17 @@
     std::size_t target = 0;
     std::size_t other = 0;
     Duration at {};
-    Duration lasts {};
+    Duration duration {};
 };
 
 std::ostream& operator<<(std::ostream& out, const Fault& fault)
 {
     return out << "kind " << static_cast<int>(fault.kind) << " target " << fault.target << " other "
                << fault.other << " at " << fault.at.count() / 1000000 << " ms for "
-               << fault.lasts.count() / 1000000 << " ms";
+               << fault.duration.count() / 1000000 << " ms";
 }
 
-rc::Gen<Fault> anyFault()
+rc::Gen<Fault> genFault()
 {
     return rc::gen::build<Fault>(rc::gen::set(&Fault::kind,
                                      rc::gen::map(rc::gen::inRange(0, faultKindCount),
@@ -51,7 +51,7 @@
         rc::gen::set(&Fault::other, rc::gen::inRange<std::size_t>(0, 6)),
         rc::gen::set(&Fault::at,
             rc::gen::map(rc::gen::inRange(1000, 9000), [](int ms) { return Duration { ms * 1ms }; })),
-        rc::gen::set(&Fault::lasts,
+        rc::gen::set(&Fault::duration,
             rc::gen::map(rc::gen::inRange(20, 6000), [](int ms) { return Duration { ms * 1ms }; })));
 }
 
@@ -71,9 +71,9 @@
     case FaultKind::CutHomes:
         return simulation.cut(GroupSimulation::proxy(0), GroupSimulation::proxy(1));
     case FaultKind::PauseHome:
-        return simulation.pause(home, fault.lasts);
-    case FaultKind::PauseHomeBeforeOrder:
-        return simulation.pauseBeforeNextOrder(home, fault.lasts);
+        return simulation.pause(home, fault.duration);
+    case FaultKind::PauseHomeBeforeNextOrder:
+        return simulation.pauseBeforeNextOrder(home, fault.duration);
     case FaultKind::KillHome:
         return simulation.killProxy(home);
     case FaultKind::StoreDown:
@@ -83,7 +83,7 @@
         simulation.storeLosesAnswers = true;
         return;
     case FaultKind::SlowReplica:
-        simulation.slotAt(slot).lag = fault.lasts;
+        simulation.slotAt(slot).lag = fault.duration;
         return;
     case FaultKind::SlotLeaves:
         return simulation.setLeaving({ slot });
@@ -121,26 +121,26 @@
     case FaultKind::SlotLeaves:
         return simulation.setLeaving({});
     case FaultKind::PauseHome:
-    case FaultKind::PauseHomeBeforeOrder:
+    case FaultKind::PauseHomeBeforeNextOrder:
         return;
     }
 }
 
-struct Step {
+struct FaultStep {
     Duration at {};
     bool begins = false;
     const Fault* fault = nullptr;
 };
 
-std::vector<Step> stepsOf(const std::vector<Fault>& faults)
+std::vector<FaultStep> faultSteps(const std::vector<Fault>& faults)
 {
-    std::vector<Step> steps;
+    std::vector<FaultStep> steps;
     for (const auto& fault : faults) {
         steps.push_back({ .at = fault.at, .begins = true, .fault = &fault });
-        steps.push_back({ .at = fault.at + fault.lasts, .begins = false, .fault = &fault });
+        steps.push_back({ .at = fault.at + fault.duration, .begins = false, .fault = &fault });
     }
-    std::stable_sort(
-        steps.begin(), steps.end(), [](const Step& one, const Step& other) { return one.at < other.at; });
+    std::stable_sort(steps.begin(), steps.end(),
+        [](const FaultStep& one, const FaultStep& other) { return one.at < other.at; });
     return steps;
 }
 
@@ -150,14 +150,14 @@
 
 void checkRandomFaults(std::size_t slots)
 {
-    const auto faults = *rc::gen::container<std::vector<Fault>>(anyFault()).as("faults");
+    const auto faults = *rc::gen::container<std::vector<Fault>>(genFault()).as("faults");
     const auto seed = *rc::gen::arbitrary<std::uint64_t>().as("seed");
     const auto lag = *rc::gen::inRange(1, 40).as("replica lag in ms");
     GroupSimulation simulation {
         { .slots = slots, .seed = seed, .replicaLag = lag * 1ms, .duplicatesInHundred = 10 }
     };
     const auto start = simulation.now();
-    for (const auto& step : stepsOf(faults)) {
+    for (const auto& step : faultSteps(faults)) {
         if (step.at >= faultPhase)
             break;
         simulation.runFor(start + step.at - simulation.now());
--- a/tests/failover/group_simulation.cpp
+++ b/tests/failover/group_simulation.cpp
@@ -255,17 +255,18 @@
                     answer(answered);
             });
         };
-        const bool loses = this->storeLosesAnswers && this->random() % 2 == 0;
-        const auto late = loses && this->random() % 4 == 0 ? Duration { 900ms } : Duration {};
-        this->at(this->clock + this->networkLatency() + late, [this, proxyIndex, effect, settle, loses] {
-            if (!this->storeUp || !this->isLinked(proxy(proxyIndex), store()))
-                return;
-            effect();
-            this->at(this->clock + this->networkLatency(), [this, proxyIndex, settle, loses] {
-                if (!loses && this->isLinked(proxy(proxyIndex), store()))
-                    settle(true);
+        const bool losesAnswer = this->storeLosesAnswers && this->random() % 2 == 0;
+        const auto extraDelay = losesAnswer && this->random() % 4 == 0 ? Duration { 900ms } : Duration {};
+        this->at(this->clock + this->networkLatency() + extraDelay,
+            [this, proxyIndex, effect, settle, losesAnswer] {
+                if (!this->storeUp || !this->isLinked(proxy(proxyIndex), store()))
+                    return;
+                effect();
+                this->at(this->clock + this->networkLatency(), [this, proxyIndex, settle, losesAnswer] {
+                    if (!losesAnswer && this->isLinked(proxy(proxyIndex), store()))
+                        settle(true);
+                });
             });
-        });
         this->at(this->clock + storeTimeout, [settle] { settle(false); });
     });
 }
--- a/tests/failover/group_simulation.h
+++ b/tests/failover/group_simulation.h
@@ -119,7 +119,7 @@
     };
     struct Session {
         cyclamendrift::Progress seen;
-        std::set<std::uint64_t> known;
+        std::set<std::uint64_t> knownWrites;
         /// A session runs one operation at a time, at this home proxy.
         bool busy = false;
         std::size_t home = 0;
--- a/tests/failover/group_simulation_sessions.cpp
+++ b/tests/failover/group_simulation_sessions.cpp
@@ -114,7 +114,7 @@
 void GroupSimulation::writeUntil(std::size_t proxyIndex, Caller caller, Instant sentAt, Instant deadline)
 {
     auto& proxy = this->proxies[proxyIndex];
-    const auto again = [this, proxyIndex, caller, sentAt, deadline] {
+    const auto retry = [this, proxyIndex, caller, sentAt, deadline] {
         this->writeUntil(proxyIndex, caller, sentAt, deadline);
     };
     if (this->clock >= deadline) {
@@ -122,7 +122,7 @@
         return;
     }
     if (this->viewOf(proxyIndex).phase != GroupView::Phase::Serving) {
-        proxy.heldTasks.emplace_back(again);
+        proxy.heldTasks.emplace_back(retry);
         return;
     }
     const auto write = ++this->lastWriteId;
@@ -135,7 +135,7 @@
                 this->replicateAll();
             return done;
         },
-        [this, proxyIndex, caller, write, sentAt, again](
+        [this, proxyIndex, caller, write, sentAt, retry](
             const std::optional<StatusSample>& sample, bool done) {
             if (!sample) {
                 this->endOperation(caller);
@@ -144,7 +144,7 @@
             this->observe(proxyIndex, *sample);
             if (!done) {
                 this->at(
-                    this->clock + 50ms, [this, proxyIndex, again] { this->runOnProxy(proxyIndex, again); });
+                    this->clock + 50ms, [this, proxyIndex, retry] { this->runOnProxy(proxyIndex, retry); });
                 return;
             }
             const auto progress = sample->status.progress;
@@ -167,7 +167,7 @@
     if (this->options.readsFromPrimaryOnly)
         choice = tracker.choose({ .access = PrimaryRead {}, .seen = request.seen, .arrivedAt = begunAt },
             this->clock, this->random);
-    const auto again
+    const auto retry
         = [this, proxyIndex, caller, access, begunAt] { this->read(proxyIndex, caller, access, begunAt); };
     if (this->clock - begunAt >= this->options.callerTimeout) {
         this->endOperation(caller);
@@ -177,9 +177,9 @@
         this->readAt(proxyIndex, caller, request, primary->slot, true);
     } else if (std::holds_alternative<WaitForReplica>(choice)) {
         this->pollReplicas(proxyIndex);
-        this->at(this->clock + 1ms, [this, proxyIndex, again] { this->runOnProxy(proxyIndex, again); });
+        this->at(this->clock + 1ms, [this, proxyIndex, retry] { this->runOnProxy(proxyIndex, retry); });
     } else {
-        this->at(this->clock + 50ms, [this, proxyIndex, again] { this->runOnProxy(proxyIndex, again); });
+        this->at(this->clock + 50ms, [this, proxyIndex, retry] { this->runOnProxy(proxyIndex, retry); });
     }
 }
 
@@ -235,7 +235,7 @@
     auto& session = this->sessions[caller.session];
     if (session.operation == caller.operation) {
         session.seen = std::max(session.seen, progress);
-        session.known.insert(write);
+        session.knownWrites.insert(write);
         this->endOperation(caller);
     }
     this->acknowledgedWrites.push_back({ .write = write, .sentAt = sentAt, .at = this->clock });
@@ -252,16 +252,16 @@
         return;
     this->endOperation(caller);
     session.seen = std::max(session.seen, seen);
-    if (!std::includes(rows.begin(), rows.end(), session.known.begin(), session.known.end()))
+    if (!std::includes(rows.begin(), rows.end(), session.knownWrites.begin(), session.knownWrites.end()))
         this->recordViolation("a session did not read a write that it had written or read before");
-    session.known = rows;
-    auto upTo = Instant::min();
+    session.knownWrites = rows;
+    auto reflectedUntil = Instant::min();
     if (std::holds_alternative<PrimaryRead>(access))
-        upTo = sentAt;
+        reflectedUntil = sentAt;
     else if (std::holds_alternative<BoundedRead>(access))
-        upTo = this->clock - staleness;
+        reflectedUntil = this->clock - staleness;
     for (const auto& acknowledged : this->acknowledgedWrites) {
-        if (acknowledged.at <= upTo && !rows.contains(acknowledged.write)) {
+        if (acknowledged.at <= reflectedUntil && !rows.contains(acknowledged.write)) {
             this->recordViolation("a read was staler than its bound");
             return;
         }
