--- a/src/failover/failover_coordinator.cpp
+++ b/src/failover/failover_coordinator.cpp
@@ -319,8 +319,8 @@
     constexpr std::size_t minAgreeingSiblings = 2;
     if (reachableCount == 0 && unreachableCount >= std::min(minAgreeingSiblings, siblingsAnswer->asked))
         return true;
-    // Some siblings reach the slot and some do not: this home proxy, which has to serve callers, cannot reach
-    // it either.
+    // Some siblings reach the slot and some do not. This home proxy, which has to serve callers, cannot reach
+    // it, and at least one sibling cannot either.
     return slot.timeSinceAnswer(this->now) >= settings.contestedAfter && unreachableCount > 0
         && unreachableCount + 1 >= reachableCount;
 }
