--- a/tests/failover/failover_property_test.cpp
+++ b/tests/failover/failover_property_test.cpp
@@ -1,4 +1,4 @@
-#include "group_world.h"
+#include "group_simulation.h"
 
 #include <property.h>
 
@@ -17,179 +17,181 @@
     CutHomeFromStore,
     CutHomes,
     PauseHome,
-    PauseHomeBeforeOrder,
+    PauseHomeBeforeNextOrder,
     KillHome,
     StoreDown,
     StoreLosesAnswers,
     SlowReplica,
     SlotLeaves,
 };
-constexpr int faultKinds = 12;
+constexpr int faultKindCount = 12;
 
-/// A fault that begins and, unless everything is healed before, ends.
+/// A fault with its start and duration; the end of the fault phase ends it early.
 struct Fault {
     FaultKind kind {};
     std::size_t target = 0;
     std::size_t other = 0;
     Duration at {};
-    Duration lasts {};
+    Duration duration {};
 };
 
 std::ostream& operator<<(std::ostream& out, const Fault& fault)
 {
     return out << "kind " << static_cast<int>(fault.kind) << " target " << fault.target << " other "
                << fault.other << " at " << fault.at.count() / 1000000 << " ms for "
-               << fault.lasts.count() / 1000000 << " ms";
+               << fault.duration.count() / 1000000 << " ms";
 }
 
-rc::Gen<Fault> anyFault()
+rc::Gen<Fault> genFault()
 {
     return rc::gen::build<Fault>(rc::gen::set(&Fault::kind,
-                                     rc::gen::map(rc::gen::inRange(0, faultKinds),
+                                     rc::gen::map(rc::gen::inRange(0, faultKindCount),
                                          [](int kind) { return static_cast<FaultKind>(kind); })),
         rc::gen::set(&Fault::target, rc::gen::inRange<std::size_t>(0, 6)),
         rc::gen::set(&Fault::other, rc::gen::inRange<std::size_t>(0, 6)),
         rc::gen::set(&Fault::at,
             rc::gen::map(rc::gen::inRange(1000, 9000), [](int ms) { return Duration { ms * 1ms }; })),
-        rc::gen::set(&Fault::lasts,
+        rc::gen::set(&Fault::duration,
             rc::gen::map(rc::gen::inRange(20, 6000), [](int ms) { return Duration { ms * 1ms }; })));
 }
 
-void begin(GroupWorld& world, const Fault& fault, std::size_t slots)
+void begin(GroupSimulation& simulation, const Fault& fault, std::size_t slots)
 {
     const auto slot = fault.target % slots;
     const auto home = fault.target % 2;
     switch (fault.kind) {
     case FaultKind::KillSlot:
-        return world.kill(slot);
+        return simulation.kill(slot);
     case FaultKind::IsolateSlot:
-        return world.isolate(slot);
+        return simulation.isolate(slot);
     case FaultKind::CutHomeFromSlot:
-        return world.cut(GroupWorld::proxy(home), GroupWorld::slot(fault.other % slots));
+        return simulation.cut(GroupSimulation::proxy(home), GroupSimulation::slot(fault.other % slots));
     case FaultKind::CutHomeFromStore:
-        return world.cut(GroupWorld::proxy(home), GroupWorld::store());
+        return simulation.cut(GroupSimulation::proxy(home), GroupSimulation::store());
     case FaultKind::CutHomes:
-        return world.cut(GroupWorld::proxy(0), GroupWorld::proxy(1));
+        return simulation.cut(GroupSimulation::proxy(0), GroupSimulation::proxy(1));
     case FaultKind::PauseHome:
-        return world.pause(home, fault.lasts);
-    case FaultKind::PauseHomeBeforeOrder:
-        return world.pauseBeforeNextOrder(home, fault.lasts);
+        return simulation.pause(home, fault.duration);
+    case FaultKind::PauseHomeBeforeNextOrder:
+        return simulation.pauseBeforeNextOrder(home, fault.duration);
     case FaultKind::KillHome:
-        return world.killProxy(home);
+        return simulation.killProxy(home);
     case FaultKind::StoreDown:
-        world.storeUp = false;
+        simulation.storeUp = false;
         return;
     case FaultKind::StoreLosesAnswers:
-        world.storeLosesAnswers = true;
+        simulation.storeLosesAnswers = true;
         return;
     case FaultKind::SlowReplica:
-        world.slotAt(slot).lag = fault.lasts;
+        simulation.slotAt(slot).lag = fault.duration;
         return;
     case FaultKind::SlotLeaves:
-        return world.setLeaving({ slot });
+        return simulation.setLeaving({ slot });
     }
 }
 
-void end(GroupWorld& world, const Fault& fault, std::size_t slots)
+void end(GroupSimulation& simulation, const Fault& fault, std::size_t slots)
 {
     const auto slot = fault.target % slots;
     const auto home = fault.target % 2;
     switch (fault.kind) {
     case FaultKind::KillSlot:
-        return world.revive(slot);
+        return simulation.revive(slot);
     case FaultKind::IsolateSlot:
         for (std::size_t other = 0; other < slots; ++other)
-            world.heal(GroupWorld::slot(slot), GroupWorld::slot(other));
+            simulation.heal(GroupSimulation::slot(slot), GroupSimulation::slot(other));
         return;
     case FaultKind::CutHomeFromSlot:
-        return world.heal(GroupWorld::proxy(home), GroupWorld::slot(fault.other % slots));
+        return simulation.heal(GroupSimulation::proxy(home), GroupSimulation::slot(fault.other % slots));
     case FaultKind::CutHomeFromStore:
-        return world.heal(GroupWorld::proxy(home), GroupWorld::store());
+        return simulation.heal(GroupSimulation::proxy(home), GroupSimulation::store());
     case FaultKind::CutHomes:
-        return world.heal(GroupWorld::proxy(0), GroupWorld::proxy(1));
+        return simulation.heal(GroupSimulation::proxy(0), GroupSimulation::proxy(1));
     case FaultKind::KillHome:
-        return world.restartProxy(home);
+        return simulation.restartProxy(home);
     case FaultKind::StoreDown:
-        world.storeUp = true;
+        simulation.storeUp = true;
         return;
     case FaultKind::StoreLosesAnswers:
-        world.storeLosesAnswers = false;
+        simulation.storeLosesAnswers = false;
         return;
     case FaultKind::SlowReplica:
-        world.slotAt(slot).lag = 2ms;
+        simulation.slotAt(slot).lag = 2ms;
         return;
     case FaultKind::SlotLeaves:
-        return world.setLeaving({});
+        return simulation.setLeaving({});
     case FaultKind::PauseHome:
-    case FaultKind::PauseHomeBeforeOrder:
+    case FaultKind::PauseHomeBeforeNextOrder:
         return;
     }
 }
 
-struct Step {
+struct FaultStep {
     Duration at {};
     bool begins = false;
     const Fault* fault = nullptr;
 };
 
-std::vector<Step> stepsOf(const std::vector<Fault>& faults)
+std::vector<FaultStep> faultSteps(const std::vector<Fault>& faults)
 {
-    std::vector<Step> steps;
+    std::vector<FaultStep> steps;
     for (const auto& fault : faults) {
         steps.push_back({ .at = fault.at, .begins = true, .fault = &fault });
-        steps.push_back({ .at = fault.at + fault.lasts, .begins = false, .fault = &fault });
+        steps.push_back({ .at = fault.at + fault.duration, .begins = false, .fault = &fault });
     }
-    std::stable_sort(
-        steps.begin(), steps.end(), [](const Step& one, const Step& other) { return one.at < other.at; });
+    std::stable_sort(steps.begin(), steps.end(),
+        [](const FaultStep& one, const FaultStep& other) { return one.at < other.at; });
     return steps;
 }
 
-constexpr Duration faultsEnd = 10s;
-/// The brief allows 11 s; a second is left for what an acknowledgement takes after it.
-constexpr Duration healsWithin = 10s;
+constexpr Duration faultPhase = 10s;
+/// Service must resume within 11 s of the last fault: 10 s to recover and 1 s to acknowledge a new write.
+constexpr Duration recoveryTime = 10s;
 
-void checkInterleaving(std::size_t slots)
+void checkRandomFaults(std::size_t slots)
 {
-    const auto faults = *rc::gen::container<std::vector<Fault>>(anyFault()).as("faults");
+    const auto faults = *rc::gen::container<std::vector<Fault>>(genFault()).as("faults");
     const auto seed = *rc::gen::arbitrary<std::uint64_t>().as("seed");
     const auto lag = *rc::gen::inRange(1, 40).as("replica lag in ms");
-    GroupWorld world { { .slots = slots, .seed = seed, .replicaLag = lag * 1ms, .duplicatesInHundred = 10 } };
-    const auto start = world.now();
-    for (const auto& step : stepsOf(faults)) {
-        if (step.at >= faultsEnd)
+    GroupSimulation simulation {
+        { .slots = slots, .seed = seed, .replicaLag = lag * 1ms, .duplicatesInHundred = 10 }
+    };
+    const auto start = simulation.now();
+    for (const auto& step : faultSteps(faults)) {
+        if (step.at >= faultPhase)
             break;
-        world.runFor(start + step.at - world.now());
+        simulation.runFor(start + step.at - simulation.now());
         if (step.begins)
-            begin(world, *step.fault, slots);
+            begin(simulation, *step.fault, slots);
         else
-            end(world, *step.fault, slots);
+            end(simulation, *step.fault, slots);
     }
-    world.runFor(start + faultsEnd - world.now());
-    world.healEverything();
-    world.runFor(healsWithin);
-    const auto healed = world.now();
-    world.runFor(1s);
-    for (const auto& breach : world.breaches())
-        RC_FAIL(breach);
-    RC_ASSERT(world.acknowledgedSince(healed));
+    simulation.runFor(start + faultPhase - simulation.now());
+    simulation.healEverything();
+    simulation.runFor(recoveryTime);
+    const auto healed = simulation.now();
+    simulation.runFor(1s);
+    for (const auto& recordViolation : simulation.violations())
+        RC_FAIL(recordViolation);
+    RC_ASSERT(simulation.acknowledgedSince(healed));
 }
 
 } // namespace
 
 TEST_SUITE("failover under random faults")
 {
-    // Slots die and are cut off, the store is down or loses its answers, homes are paused, cut off and
-    // killed, in any order and at once. A user may have to wait, but nothing that was acknowledged is lost,
-    // sessions read their writes and never go back, bounds on age hold, and service resumes when the faults
-    // end.
-    TEST_CASE("no interleaving of faults breaks a group of three")
+    // Slots fail or are isolated, the store is down or loses answers, and home proxies are paused, cut off or
+    // killed, in any order and combination. Callers may have to wait, but no acknowledged write is lost,
+    // sessions read their writes and never go back, staleness bounds hold, and service resumes after the
+    // faults end.
+    TEST_CASE("a group of three keeps its guarantees under any interleaving of faults")
     {
-        checkProperty("three slots", [] { checkInterleaving(3); });
+        checkProperty("three slots", [] { checkRandomFaults(3); });
     }
 
     // The same with one replica, where the in-sync set has to shrink and grow again between the faults.
-    TEST_CASE("no interleaving of faults breaks a group of two")
+    TEST_CASE("a group of two keeps its guarantees under any interleaving of faults")
     {
-        checkProperty("two slots", [] { checkInterleaving(2); });
+        checkProperty("two slots", [] { checkRandomFaults(2); });
     }
 }
--- a/tests/failover/group_world.h
+++ b/tests/failover/group_simulation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "model_slot.h"
+#include "simulated_slot.h"
 
 #include <cyclamendrift/commits/acknowledgements.h>
 #include <cyclamendrift/failover/failover_coordinator.h>
@@ -18,36 +18,37 @@
 #include <utility>
 #include <vector>
 
-/// One database group, the store and a few proxies in virtual time, with the network between them and
-/// sessions that write and read. It keeps its own account of what was acknowledged and notes every breach.
-class GroupWorld {
+/// Simulation in virtual time of one database group, the store and a few proxies, with the network between
+/// them and sessions that write and read. Records the acknowledged writes itself and checks every guarantee
+/// against them.
+class GroupSimulation {
 public:
     struct Options {
         std::size_t slots = 3;
         std::size_t homes = 2;
-        /// Siblings that only give opinions.
+        /// Siblings without a coordinator, which only report on slots.
         std::size_t observers = 1;
         std::uint64_t seed = 1;
         cyclamendrift::Duration replicaLag = std::chrono::milliseconds { 2 };
         cyclamendrift::Duration writeInterval = std::chrono::milliseconds { 100 };
         cyclamendrift::Duration readInterval = std::chrono::milliseconds { 50 };
         cyclamendrift::Duration patience = std::chrono::milliseconds { 5 };
-        /// Each event reaches a coordinator a second time, later, with this chance in 100.
+        /// Percentage of events that reach a coordinator a second time, later.
         unsigned duplicatesInHundred = 0;
         bool readsFromPrimaryOnly = false;
         std::size_t sessions = 16;
-        /// How long a caller waits, and its request may be held.
+        /// How long a caller waits for an answer, and for how long its request may be held.
         cyclamendrift::Duration callerTimeout = std::chrono::seconds { 1 };
         cyclamendrift::FailoverSettings settings;
     };
-    /// An end of a link.
-    struct Node {
+    /// One end of a network link.
+    struct Endpoint {
         enum class Kind : std::uint8_t { Proxy, Slot, Store };
         Kind kind = Kind::Store;
         std::size_t index = 0;
-        friend auto operator<=>(const Node&, const Node&) = default;
+        friend auto operator<=>(const Endpoint&, const Endpoint&) = default;
     };
-    /// When a failover reached its steps; the last of each.
+    /// Times at which the last failover reached its steps.
     struct Timeline {
         std::optional<cyclamendrift::Instant> claimed;
         std::optional<cyclamendrift::Instant> chosen;
@@ -61,25 +62,25 @@
     struct ReadCounts {
         std::uint64_t replica = 0;
         std::uint64_t primary = 0;
-        /// How long each took from its arrival at the home.
+        /// Duration of each read from its arrival at the home proxy.
         std::vector<cyclamendrift::Duration> took;
     };
 
-    explicit GroupWorld(Options options);
+    explicit GroupSimulation(Options options);
 
-    static Node proxy(std::size_t index) { return { Node::Kind::Proxy, index }; }
-    static Node slot(std::size_t index) { return { Node::Kind::Slot, index }; }
-    static Node store() { return {}; }
+    static Endpoint proxy(std::size_t index) { return { Endpoint::Kind::Proxy, index }; }
+    static Endpoint slot(std::size_t index) { return { Endpoint::Kind::Slot, index }; }
+    static Endpoint store() { return {}; }
 
     void runFor(cyclamendrift::Duration duration);
-    void cut(Node one, Node other);
-    void heal(Node one, Node other);
-    /// Cuts a slot from the other slots.
+    void cut(Endpoint one, Endpoint other);
+    void heal(Endpoint one, Endpoint other);
+    /// Cuts the links of a slot to the other slots.
     void isolate(std::size_t index);
     void kill(std::size_t slotIndex);
     void revive(std::size_t slotIndex);
     void pause(std::size_t proxyIndex, cyclamendrift::Duration duration);
-    /// Its next order to a slot or the store waits this long, with all else that it does.
+    /// Pauses the proxy for this long just before its next order to a slot or change in the store.
     void pauseBeforeNextOrder(std::size_t proxyIndex, cyclamendrift::Duration duration);
     void killProxy(std::size_t proxyIndex);
     void restartProxy(std::size_t proxyIndex);
@@ -88,21 +89,21 @@
 
     bool storeUp = true;
     bool storeLosesAnswers = false;
-    /// Lets the sessions write and read.
+    /// True while the sessions write and read.
     bool workload = true;
 
-    [[nodiscard]] const std::vector<std::string>& breaches() const { return this->breachList; }
-    [[nodiscard]] const std::vector<Acknowledged>& acknowledged() const { return this->acks; }
+    [[nodiscard]] const std::vector<std::string>& violations() const { return this->violationList; }
+    [[nodiscard]] const std::vector<Acknowledged>& acknowledged() const { return this->acknowledgedWrites; }
     [[nodiscard]] const ReadCounts& reads() const { return this->readCounts; }
-    [[nodiscard]] const Timeline& timeline() const { return this->times; }
+    [[nodiscard]] const Timeline& timeline() const { return this->failoverTimeline; }
     [[nodiscard]] cyclamendrift::Instant now() const { return this->clock; }
-    [[nodiscard]] ModelSlot& slotAt(std::size_t index) { return this->slots[index]; }
+    [[nodiscard]] SimulatedSlot& slotAt(std::size_t index) { return this->slots[index]; }
     [[nodiscard]] const cyclamendrift::GroupView& viewOf(std::size_t proxyIndex) const;
     [[nodiscard]] std::optional<cyclamendrift::GroupRecord> record() const;
-    [[nodiscard]] std::size_t promotions() const { return this->reigns.size(); }
-    /// Index of the slot that reigns last.
+    [[nodiscard]] std::size_t promotions() const { return this->primaryTerms.size(); }
+    /// Index of the slot that was promoted in the highest term.
     [[nodiscard]] std::size_t primaryIndex() const;
-    /// True when a write that was sent after an instant has been acknowledged.
+    /// True if a write that was sent at or after `instant` has been acknowledged.
     [[nodiscard]] bool acknowledgedSince(cyclamendrift::Instant instant) const;
 
 private:
@@ -118,18 +119,18 @@
     };
     struct Session {
         cyclamendrift::Progress seen;
-        std::set<std::uint64_t> known;
-        /// It does one thing after the other, at this home.
+        std::set<std::uint64_t> knownWrites;
+        /// A session runs one operation at a time, at this home proxy.
         bool busy = false;
         std::size_t home = 0;
         std::uint64_t operation = 0;
     };
-    /// Who waits for an answer; one who has given up is not told any more.
+    /// The operation that waits for an answer. Once the session has given up, answers to it are ignored.
     struct Caller {
         std::size_t session = 0;
         std::uint64_t operation = 0;
     };
-    struct Waiting {
+    struct PendingConfirmation {
         std::function<void()> onConfirmed;
         std::function<void()> onGivenUp;
     };
@@ -137,55 +138,55 @@
         std::unique_ptr<cyclamendrift::FailoverCoordinator> coordinator;
         cyclamendrift::Acknowledgements acknowledgements;
         std::unique_ptr<cyclamendrift::ReplicaTracker> tracker;
-        std::map<cyclamendrift::ConfirmationTicket, Waiting> waiting;
-        std::deque<Task> held;
+        std::map<cyclamendrift::ConfirmationTicket, PendingConfirmation> pendingConfirmations;
+        std::deque<Task> heldTasks;
         cyclamendrift::Instant pausedUntil;
         cyclamendrift::Duration pauseAtOrder {};
         bool polling = false;
         bool alive = true;
-        unsigned life = 0;
+        unsigned incarnation = 0;
     };
-    struct Reign {
+    struct PrimaryTerm {
         cyclamendrift::Term term {};
         std::size_t slot = 0;
     };
 
-    // The network.
+    // Network.
     void at(cyclamendrift::Instant when, Task task);
-    [[nodiscard]] bool linked(Node one, Node other) const;
-    cyclamendrift::Duration delay();
-    void atProxy(std::size_t index, Task task);
-    void fromProxy(std::size_t index, bool isOrder, Task task);
+    [[nodiscard]] bool isLinked(Endpoint one, Endpoint other) const;
+    cyclamendrift::Duration networkLatency();
+    void runOnProxy(std::size_t index, Task task);
+    void sendFromProxy(std::size_t index, bool isOrder, Task task);
     void callSlot(std::size_t proxyIndex, std::size_t slotIndex, bool isOrder,
-        std::function<bool(ModelSlot&)> operation,
+        std::function<bool(SimulatedSlot&)> operation,
         std::function<void(std::optional<cyclamendrift::StatusSample>, bool done)> answer);
     void callStore(
         std::size_t proxyIndex, bool isOrder, Task effect, std::function<void(bool answered)> answer);
     void replicate(std::size_t index);
     void replicateAll();
 
-    // The proxies.
+    // Proxies.
     void startProxy(std::size_t index);
     void tick(std::size_t index);
-    void give(std::size_t index, const cyclamendrift::FailoverEvent& event);
+    void deliver(std::size_t index, const cyclamendrift::FailoverEvent& event);
     void perform(std::size_t index, const cyclamendrift::FailoverActions& actions);
-    void order(std::size_t index, const cyclamendrift::SlotName& name, std::function<bool(ModelSlot&)> what,
-        bool isOrder);
-    void performAsk(std::size_t index, const cyclamendrift::SlotName& name);
-    void performRead(std::size_t index);
-    void performSwap(std::size_t index, const cyclamendrift::SwapRecord& swap);
-    void performPublish(std::size_t index, const cyclamendrift::GroupView& view);
+    void order(std::size_t index, const cyclamendrift::SlotName& name,
+        std::function<bool(SimulatedSlot&)> what, bool isOrder);
+    void askSiblings(std::size_t index, const cyclamendrift::SlotName& name);
+    void readRecord(std::size_t index);
+    void swapRecord(std::size_t index, const cyclamendrift::SwapRecord& swap);
+    void publishView(std::size_t index, const cyclamendrift::GroupView& view);
     void observe(std::size_t index, const cyclamendrift::StatusSample& sample);
     void settle(std::size_t index);
     [[nodiscard]] std::size_t indexOf(const cyclamendrift::SlotName& name) const;
 
-    // The sessions.
+    // Sessions.
     void writeLoop();
     void readLoop();
     void poll(std::size_t proxyIndex);
     void pollReplicas(std::size_t proxyIndex);
-    void awaitConfirmation(
-        std::size_t proxyIndex, const cyclamendrift::Acknowledgements::Options& options, Waiting waiting);
+    void awaitConfirmation(std::size_t proxyIndex, const cyclamendrift::Acknowledgements::Options& options,
+        PendingConfirmation pendingConfirmations);
     void write(std::size_t proxyIndex, Caller caller);
     void writeUntil(std::size_t proxyIndex, Caller caller, cyclamendrift::Instant sentAt,
         cyclamendrift::Instant deadline);
@@ -195,28 +196,28 @@
         const cyclamendrift::SlotName& name, bool onPrimary);
     std::optional<Caller> beginOperation(std::size_t home);
     void endOperation(Caller caller);
-    void noteAcknowledged(
+    void recordAcknowledgedWrite(
         Caller caller, std::uint64_t write, cyclamendrift::Instant sentAt, cyclamendrift::Progress progress);
-    void noteRead(Caller caller, const cyclamendrift::Access& access, cyclamendrift::Instant sentAt,
+    void checkRead(Caller caller, const cyclamendrift::Access& access, cyclamendrift::Instant sentAt,
         const std::set<std::uint64_t>& rows, cyclamendrift::Progress seen);
-    void notePromotion(std::size_t slotIndex, cyclamendrift::Term term);
-    void breach(std::string what);
+    void recordPromotion(std::size_t slotIndex, cyclamendrift::Term term);
+    void recordViolation(std::string what);
 
     Options options;
     cyclamendrift::RandomSource random;
     cyclamendrift::Instant clock { std::chrono::seconds { 1000 } };
     std::uint64_t lastOrder = 0;
     std::priority_queue<Scheduled> tasks;
-    std::set<std::pair<Node, Node>> cuts;
-    std::vector<ModelSlot> slots;
+    std::set<std::pair<Endpoint, Endpoint>> cutLinks;
+    std::vector<SimulatedSlot> slots;
     std::vector<Proxy> proxies;
     std::vector<Session> sessions;
-    std::optional<cyclamendrift::RevisedRecord> stored;
+    std::optional<cyclamendrift::VersionedRecord> storedRecord;
     std::vector<std::size_t> leaving;
-    std::uint64_t lastWrite = ModelSlot::noWrite;
-    std::vector<Acknowledged> acks;
-    std::vector<Reign> reigns;
-    std::vector<std::string> breachList;
+    std::uint64_t lastWriteId = SimulatedSlot::noWriteId;
+    std::vector<Acknowledged> acknowledgedWrites;
+    std::vector<PrimaryTerm> primaryTerms;
+    std::vector<std::string> violationList;
     ReadCounts readCounts;
-    Timeline times;
+    Timeline failoverTimeline;
 };
