--- a/bench/bench_consistency.cpp
+++ b/bench/bench_consistency.cpp
@@ -102,12 +102,12 @@
         const auto end = firstAcknowledgedAfter(simulation, begunAt);
         const auto& times = simulation.timeline();
         const auto claimed = times.claimed.value_or(end);
-        const auto chosen = times.chosen.value_or(end);
+        const auto selected = times.selected.value_or(end);
         // A commit from before the failover may be confirmed before the view that lets new ones through.
-        const auto serving = times.serving > times.chosen ? times.serving.value_or(end) : end;
+        const auto serving = times.serving > times.selected ? times.serving.value_or(end) : end;
         detection.add(milliseconds(claimed - from));
-        fencing.add(milliseconds(chosen - claimed));
-        promotion.add(milliseconds(serving - chosen));
+        fencing.add(milliseconds(selected - claimed));
+        promotion.add(milliseconds(serving - selected));
         release.add(milliseconds(end - serving));
         gap.add(milliseconds(end - from));
         violations += simulation.violations().size();
@@ -175,7 +175,7 @@
 
 void measureReads(const Site& site, std::string_view fault, Duration lag, const ReadPolicy& policy)
 {
-    Series took;
+    Series durations;
     double replica = 0;
     double all = 0;
     std::size_t violations = 0;
@@ -190,13 +190,13 @@
         simulation.runFor(10s);
         replica += static_cast<double>(simulation.reads().replica);
         all += static_cast<double>(simulation.reads().replica + simulation.reads().primary);
-        for (const auto each : simulation.reads().took)
-            took.add(milliseconds(each));
+        for (const auto each : simulation.reads().durations)
+            durations.add(milliseconds(each));
         violations += simulation.violations().size();
     }
     const auto row = std::string { site.name } + ',' + std::string { fault } + ',' + policy.name + ',';
     std::cout << row << "replica_read_share," << replica / all << ",ratio\n";
-    took.print(row, "read_latency");
+    durations.print(row, "read_latency");
     std::cout << row << "consistency_breaches," << violations << ",count\n";
 }
 
@@ -214,16 +214,16 @@
 /// A write takes one round trip to the primary; the rest is the wait for its confirmation.
 void measureWrites(const Site& site, Duration lag)
 {
-    Series took;
+    Series durations;
     for (int seed = 1; seed <= readSeeds; ++seed) {
         auto simulation = makeSimulation(site, seed, lag);
         simulation.runFor(10s);
         for (const auto& each : simulation.acknowledged())
-            took.add(milliseconds(each.at - each.sentAt));
+            durations.add(milliseconds(each.at - each.sentAt));
     }
     const auto row = std::string { site.name } + ",replica_lag_"
         + std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(lag).count()) + "ms,ours,";
-    took.print(row, "write_latency");
+    durations.print(row, "write_latency");
 }
 
 } // namespace
--- a/tests/failover/failover_property_test.cpp
+++ b/tests/failover/failover_property_test.cpp
@@ -154,7 +154,7 @@
     const auto seed = *rc::gen::arbitrary<std::uint64_t>().as("seed");
     const auto lag = *rc::gen::inRange(1, 40).as("replica lag in ms");
     GroupSimulation simulation {
-        { .slots = slots, .seed = seed, .replicaLag = lag * 1ms, .duplicatesInHundred = 10 }
+        { .slots = slots, .seed = seed, .replicaLag = lag * 1ms, .duplicatePercentage = 10 }
     };
     const auto start = simulation.now();
     for (const auto& step : faultSteps(faults)) {
--- a/tests/failover/group_simulation.cpp
+++ b/tests/failover/group_simulation.cpp
@@ -156,7 +156,7 @@
 bool GroupSimulation::acknowledgedSince(Instant instant) const
 {
     return std::any_of(this->acknowledgedWrites.begin(), this->acknowledgedWrites.end(),
-        [&](const Acknowledged& acknowledged) { return acknowledged.sentAt >= instant; });
+        [&](const AcknowledgedWrite& acknowledged) { return acknowledged.sentAt >= instant; });
 }
 
 // Network
@@ -325,7 +325,7 @@
 void GroupSimulation::deliver(std::size_t index, const FailoverEvent& event)
 {
     this->perform(index, this->proxies[index].coordinator->handle(event, this->clock));
-    if (this->random() % 100 >= this->options.duplicatesInHundred)
+    if (this->random() % 100 >= this->options.duplicatePercentage)
         return;
     this->at(this->clock + std::chrono::milliseconds { this->random() % 600 }, [this, index, event] {
         this->runOnProxy(index, [this, index, event] {
@@ -468,7 +468,7 @@
     if (!swap.record.isSettled())
         this->failoverTimeline.claimed = this->clock;
     else if (this->storedRecord && swap.record.servingTerm != this->storedRecord->record.servingTerm)
-        this->failoverTimeline.chosen = this->clock;
+        this->failoverTimeline.selected = this->clock;
     struct Result {
         bool swapped = false;
         std::optional<VersionedRecord> current;
@@ -501,7 +501,7 @@
     this->settle(index);
     if (view.phase != GroupView::Phase::Serving)
         return;
-    if (!this->failoverTimeline.serving || this->failoverTimeline.chosen > this->failoverTimeline.serving)
+    if (!this->failoverTimeline.serving || this->failoverTimeline.selected > this->failoverTimeline.serving)
         this->failoverTimeline.serving = this->clock;
     for (auto& task : std::exchange(proxy.heldTasks, {}))
         this->runOnProxy(index, std::move(task));
--- a/tests/failover/group_simulation.h
+++ b/tests/failover/group_simulation.h
@@ -34,7 +34,7 @@
         cyclamendrift::Duration readInterval = std::chrono::milliseconds { 50 };
         cyclamendrift::Duration patience = std::chrono::milliseconds { 5 };
         /// Percentage of events that reach a coordinator a second time, later.
-        unsigned duplicatesInHundred = 0;
+        unsigned duplicatePercentage = 0;
         bool readsFromPrimaryOnly = false;
         std::size_t sessions = 16;
         /// How long a caller waits for an answer, and for how long its request may be held.
@@ -51,19 +51,19 @@
     /// Times at which the last failover reached its steps.
     struct Timeline {
         std::optional<cyclamendrift::Instant> claimed;
-        std::optional<cyclamendrift::Instant> chosen;
+        std::optional<cyclamendrift::Instant> selected;
         std::optional<cyclamendrift::Instant> serving;
     };
-    struct Acknowledged {
+    struct AcknowledgedWrite {
         std::uint64_t write = 0;
         cyclamendrift::Instant sentAt;
         cyclamendrift::Instant at;
     };
-    struct ReadCounts {
+    struct ReadStatistics {
         std::uint64_t replica = 0;
         std::uint64_t primary = 0;
         /// Duration of each read from its arrival at the home proxy.
-        std::vector<cyclamendrift::Duration> took;
+        std::vector<cyclamendrift::Duration> durations;
     };
 
     explicit GroupSimulation(Options options);
@@ -93,8 +93,11 @@
     bool workload = true;
 
     [[nodiscard]] const std::vector<std::string>& violations() const { return this->violationList; }
-    [[nodiscard]] const std::vector<Acknowledged>& acknowledged() const { return this->acknowledgedWrites; }
-    [[nodiscard]] const ReadCounts& reads() const { return this->readCounts; }
+    [[nodiscard]] const std::vector<AcknowledgedWrite>& acknowledged() const
+    {
+        return this->acknowledgedWrites;
+    }
+    [[nodiscard]] const ReadStatistics& reads() const { return this->readStatistics; }
     [[nodiscard]] const Timeline& timeline() const { return this->failoverTimeline; }
     [[nodiscard]] cyclamendrift::Instant now() const { return this->clock; }
     [[nodiscard]] SimulatedSlot& slotAt(std::size_t index) { return this->slots[index]; }
@@ -215,9 +218,9 @@
     std::optional<cyclamendrift::VersionedRecord> storedRecord;
     std::vector<std::size_t> leaving;
     std::uint64_t lastWriteId = SimulatedSlot::noWriteId;
-    std::vector<Acknowledged> acknowledgedWrites;
+    std::vector<AcknowledgedWrite> acknowledgedWrites;
     std::vector<PrimaryTerm> primaryTerms;
     std::vector<std::string> violationList;
-    ReadCounts readCounts;
+    ReadStatistics readStatistics;
     Timeline failoverTimeline;
 };
--- a/tests/failover/group_simulation_sessions.cpp
+++ b/tests/failover/group_simulation_sessions.cpp
@@ -206,8 +206,8 @@
             this->observe(proxyIndex, *sample);
             const auto progress = sample->status.progress;
             const auto done = [=, this] {
-                ++(onPrimary ? this->readCounts.primary : this->readCounts.replica);
-                this->readCounts.took.push_back(this->clock - request.arrivedAt);
+                ++(onPrimary ? this->readStatistics.primary : this->readStatistics.replica);
+                this->readStatistics.durations.push_back(this->clock - request.arrivedAt);
                 this->checkRead(caller, request.access, sentAt, *rows, progress);
             };
             if (onPrimary && before->progress >= request.seen) {
