--- a/tests/failover/group_simulation.h
+++ b/tests/failover/group_simulation.h
@@ -25,6 +25,7 @@
 public:
     struct Options {
         std::size_t slots = 3;
+        /// Home proxies, each with a coordinator.
         std::size_t homes = 2;
         /// Siblings without a coordinator, which only report on slots.
         std::size_t observers = 1;
@@ -32,6 +33,7 @@
         cyclamendrift::Duration replicaLag = std::chrono::milliseconds { 2 };
         cyclamendrift::Duration writeInterval = std::chrono::milliseconds { 100 };
         cyclamendrift::Duration readInterval = std::chrono::milliseconds { 50 };
+        /// How long a read may wait for a replica to catch up.
         cyclamendrift::Duration patience = std::chrono::milliseconds { 5 };
         /// Percentage of events that reach a coordinator a second time, later.
         unsigned duplicatePercentage = 0;
@@ -133,6 +135,7 @@
         std::size_t session = 0;
         std::uint64_t operation = 0;
     };
+    /// Callbacks of a commit or read that waits for confirmation.
     struct PendingConfirmation {
         std::function<void()> onConfirmed;
         std::function<void()> onGivenUp;
@@ -149,6 +152,7 @@
         bool alive = true;
         unsigned incarnation = 0;
     };
+    /// A term and the slot that was promoted in it.
     struct PrimaryTerm {
         cyclamendrift::Term term {};
         std::size_t slot = 0;
