--- a/tests/failover/group_simulation.h
+++ b/tests/failover/group_simulation.h
@@ -25,6 +25,7 @@
 public:
     struct Options {
         std::size_t slots = 3;
+        /// Home proxies, each with a coordinator.
         std::size_t homes = 2;
         /// Siblings without a coordinator, which only report on slots.
         std::size_t observers = 1;
@@ -32,9 +33,10 @@
         cyclamendrift::Duration replicaLag = std::chrono::milliseconds { 2 };
         cyclamendrift::Duration writeInterval = std::chrono::milliseconds { 100 };
         cyclamendrift::Duration readInterval = std::chrono::milliseconds { 50 };
+        /// How long a read may wait for a replica to catch up.
         cyclamendrift::Duration patience = std::chrono::milliseconds { 5 };
         /// Percentage of events that reach a coordinator a second time, later.
-        unsigned duplicatesInHundred = 0;
+        unsigned duplicatePercentage = 0;
         bool readsFromPrimaryOnly = false;
         std::size_t sessions = 16;
         /// How long a caller waits for an answer, and for how long its request may be held.
@@ -51,19 +53,19 @@
     /// Times at which the last failover reached its steps.
     struct Timeline {
         std::optional<cyclamendrift::Instant> claimed;
-        std::optional<cyclamendrift::Instant> chosen;
+        std::optional<cyclamendrift::Instant> selected;
         std::optional<cyclamendrift::Instant> serving;
     };
-    struct Acknowledged {
+    struct AcknowledgedWrite {
         std::uint64_t write = 0;
         cyclamendrift::Instant sentAt;
         cyclamendrift::Instant at;
     };
-    struct ReadCounts {
+    struct ReadStatistics {
         std::uint64_t replica = 0;
         std::uint64_t primary = 0;
         /// Duration of each read from its arrival at the home proxy.
-        std::vector<cyclamendrift::Duration> took;
+        std::vector<cyclamendrift::Duration> durations;
     };
 
     explicit GroupSimulation(Options options);
@@ -93,8 +95,11 @@
     bool workload = true;
 
     [[nodiscard]] const std::vector<std::string>& violations() const { return this->violationList; }
-    [[nodiscard]] const std::vector<Acknowledged>& acknowledged() const { return this->acknowledgedWrites; }
-    [[nodiscard]] const ReadCounts& reads() const { return this->readCounts; }
+    [[nodiscard]] const std::vector<AcknowledgedWrite>& acknowledged() const
+    {
+        return this->acknowledgedWrites;
+    }
+    [[nodiscard]] const ReadStatistics& reads() const { return this->readStatistics; }
     [[nodiscard]] const Timeline& timeline() const { return this->failoverTimeline; }
     [[nodiscard]] cyclamendrift::Instant now() const { return this->clock; }
     [[nodiscard]] SimulatedSlot& slotAt(std::size_t index) { return this->slots[index]; }
@@ -130,6 +135,7 @@
         std::size_t session = 0;
         std::uint64_t operation = 0;
     };
+    /// Callbacks of a commit or read that waits for confirmation.
     struct PendingConfirmation {
         std::function<void()> onConfirmed;
         std::function<void()> onGivenUp;
@@ -146,6 +152,7 @@
         bool alive = true;
         unsigned incarnation = 0;
     };
+    /// A term and the slot that was promoted in it.
     struct PrimaryTerm {
         cyclamendrift::Term term {};
         std::size_t slot = 0;
@@ -215,9 +222,9 @@
     std::optional<cyclamendrift::VersionedRecord> storedRecord;
     std::vector<std::size_t> leaving;
     std::uint64_t lastWriteId = SimulatedSlot::noWriteId;
-    std::vector<Acknowledged> acknowledgedWrites;
+    std::vector<AcknowledgedWrite> acknowledgedWrites;
     std::vector<PrimaryTerm> primaryTerms;
     std::vector<std::string> violationList;
-    ReadCounts readCounts;
+    ReadStatistics readStatistics;
     Timeline failoverTimeline;
 };
