--- a/include/cyclamendrift/cyclamendrift.h
+++ b/include/cyclamendrift/cyclamendrift.h
@@ -40,10 +40,10 @@
 #include <cyclamendrift/limits/limit_client.h>
 #include <cyclamendrift/limits/limit_shard_home.h>
 #include <cyclamendrift/limits/tokens.h>
-#include <cyclamendrift/membership/home_cache.h>
-#include <cyclamendrift/membership/home_map.h>
 #include <cyclamendrift/membership/membership_view.h>
-#include <cyclamendrift/membership/reader_choice.h>
+#include <cyclamendrift/membership/owner_cache.h>
+#include <cyclamendrift/membership/owner_selection.h>
+#include <cyclamendrift/membership/store_reader_selector.h>
 #include <cyclamendrift/schema/key_hash.h>
 #include <cyclamendrift/schema/outcome_codec.h>
 #include <cyclamendrift/schema/schema_difference.h>
--- a/include/cyclamendrift/limits/limit_client.h
+++ b/include/cyclamendrift/limits/limit_client.h
@@ -13,7 +13,7 @@
 namespace cyclamendrift {
 
 /// A shard of a team's limit as a proxy that asks it sees it.
-struct ShardPlace {
+struct ShardRef {
     std::uint32_t index = 0;
     /// Changes with the owner.
     std::uint64_t epoch = 0;
@@ -26,15 +26,15 @@
 };
 
 /// A message to the owner of a shard: settle these grants, then grant up to `want`.
-struct ShardAsk {
-    ShardPlace shard;
+struct ShardRequest {
+    ShardRef shard;
     Tokens want;
     std::vector<Settlement> settlements;
 };
 
 /// What the owner of a shard answered.
 struct ShardAnswer {
-    ShardPlace shard;
+    ShardRef shard;
     LimitGrant grant;
     /// When this proxy asked, on its own clock.
     Instant askedAt;
@@ -44,7 +44,7 @@
 enum class AdmissionTicket : std::uint64_t {};
 
 /// The end of one wait.
-struct AdmissionVerdict {
+struct AdmissionResult {
     AdmissionTicket ticket {};
     bool admitted = false;
     /// When coming back may help, if it was not admitted.
@@ -57,7 +57,7 @@
 /// ahead of need, returns what it does not use. Knows nothing of sockets; its owner sends what `asks` returns
 /// and reports the answers.
 ///
-///     if (!client.tryTake(now))
+///     if (!client.tryAcquire(now))
 ///         ticket = client.wait(now, deadline);
 ///     for (const auto& ask : client.asks(now)) send(ask);
 ///     client.onAnswer(answer, now);
@@ -68,13 +68,13 @@
         /// Longest that a request waits for a grant.
         Duration maxWait = std::chrono::milliseconds { 250 };
         /// A batch is meant to last this long at the demand seen.
-        Duration batchTime = std::chrono::milliseconds { 200 };
+        Duration targetBatchTime = std::chrono::milliseconds { 200 };
         /// Grants go back after this time without demand.
-        Duration idleTime = std::chrono::milliseconds { 300 };
+        Duration idleTimeout = std::chrono::milliseconds { 300 };
         /// Pause after a refusal or failure of an owner, at least.
-        Duration askPause = std::chrono::milliseconds { 20 };
+        Duration minRetryPause = std::chrono::milliseconds { 20 };
         /// Pause after an owner did not answer.
-        Duration failurePause = std::chrono::milliseconds { 500 };
+        Duration noAnswerPause = std::chrono::milliseconds { 500 };
     };
 
     explicit LimitClient(Options options) noexcept
@@ -83,41 +83,41 @@
     }
 
     /// Puts the team's rule and the places of its shards in force. Grants of former owners stay good.
-    void setShards(const LimitRule& wholeRule, std::span<const ShardPlace> places);
+    void setShards(const LimitRule& wholeRule, std::span<const ShardRef> shardRefs);
 
     /// Takes one request out of the grants at hand; false when they do not suffice or others wait.
-    [[nodiscard]] bool tryTake(Instant now);
+    [[nodiscard]] bool tryAcquire(Instant now);
 
-    /// Lets a request wait that tryTake did not admit.
+    /// Lets a request wait that tryAcquire did not admit.
     [[nodiscard]] AdmissionTicket wait(Instant now, Instant deadline);
 
     /// True when `asks` has something to send.
-    [[nodiscard]] bool wantsToAsk(Instant now) const;
+    [[nodiscard]] bool hasRequests(Instant now) const;
 
     /// The messages to send now, at most one to each shard at a time.
-    [[nodiscard]] std::vector<ShardAsk> asks(Instant now);
+    [[nodiscard]] std::vector<ShardRequest> createRequests(Instant now);
 
     /// An owner answered.
     void onAnswer(const ShardAnswer& answer, Instant now);
 
     /// An owner did not answer, or was none.
-    void onFailure(const ShardPlace& shard, Instant now);
+    void onFailure(const ShardRef& shard, Instant now);
 
     /// The requests whose wait is over.
-    [[nodiscard]] std::vector<AdmissionVerdict> verdicts(Instant now);
+    [[nodiscard]] std::vector<AdmissionResult> results(Instant now);
 
     /// Gives up every grant, with the messages that return them; for a planned stop.
-    [[nodiscard]] std::vector<ShardAsk> returnAll(Instant now);
+    [[nodiscard]] std::vector<ShardRequest> returnAllGrants(Instant now);
 
     /// True while a request waits.
     [[nodiscard]] bool hasWaiters() const noexcept { return !this->waiters.empty(); }
 
     /// Tokens at hand.
-    [[nodiscard]] Tokens atHand(Instant now) const;
+    [[nodiscard]] Tokens availableTokens(Instant now) const;
 
 private:
     struct Shard {
-        ShardPlace place;
+        ShardRef place;
         /// What was asked for and not answered yet.
         std::optional<Tokens> asked;
         Instant askFrom;
@@ -126,7 +126,7 @@
     };
 
     struct Batch {
-        ShardPlace shard;
+        ShardRef shard;
         std::uint64_t grant = 0;
         Tokens left;
         Instant spendUntil;
@@ -138,7 +138,7 @@
         Instant until;
     };
 
-    [[nodiscard]] Shard* find(const ShardPlace& place);
+    [[nodiscard]] Shard* find(const ShardRef& place);
     [[nodiscard]] bool spendOne(Instant now);
     void settle(const Batch& batch);
     void dropBatches(Instant now);
--- a/include/cyclamendrift/limits/demand_shares.h
+++ b/include/cyclamendrift/limits/limit_shares.h
@@ -22,18 +22,18 @@
 ///
 ///     shares.update(limits, self, listed, now);
 ///     engine.setShares(shares.current(), now);
-class DemandShares {
+class LimitShares {
 public:
     /// A part that grows does so only after this time: VMs read the list at different moments, and one that
     /// still holds its larger, older part must have read the new list before another uses what it gave up.
     static constexpr Duration growthDelay = std::chrono::milliseconds { 1300 };
 
     /// Takes the list in; a VM that is not on it yet counts as one more that nobody asks.
-    void update(const std::map<TeamName, TeamLimit>& limits, const VmName& self,
+    void updateByDemand(const std::map<TeamName, TeamLimit>& limits, const VmName& self,
         const std::map<VmName, DemandByTeam>& listed, Instant now);
 
     /// As update(), for a large fleet, in which each limit has a few holders.
-    void updateHeld(const std::map<TeamName, TeamLimit>& limits, const VmName& self,
+    void updateByHolders(const std::map<TeamName, TeamLimit>& limits, const VmName& self,
         const LimitHolders& holders, Instant now);
 
     /// The parts that this VM may use now.
@@ -64,7 +64,7 @@
     [[nodiscard]] const DemandByTeam& rates() const noexcept { return this->perSecond; }
 
     /// True when what was told last differs enough that others should know.
-    [[nodiscard]] static bool differs(const DemandByTeam& told, const DemandByTeam& now);
+    [[nodiscard]] static bool differsSignificantly(const DemandByTeam& told, const DemandByTeam& now);
 
 private:
     DemandByTeam perSecond;
--- a/include/cyclamendrift/limits/team_share.h
+++ b/include/cyclamendrift/limits/team_share.h
@@ -11,7 +11,7 @@
 ///
 ///     TeamShare share;
 ///     share.setRule({ .ratePerSecond = 12.5, .burst = 12.5 }, now);
-///     if (!share.tryTake(now))
+///     if (!share.tryAcquire(now))
 ///         refuse(share.timeToNext(now));
 class TeamShare {
 public:
@@ -29,7 +29,7 @@
     void setRule(const Rule& rule, Instant now);
 
     /// Takes one operation out; false when nothing is left.
-    [[nodiscard]] bool tryTake(Instant now);
+    [[nodiscard]] bool tryAcquire(Instant now);
 
     /// Takes up to `wanted` operations out for another VM; half of what is there stays, unless the part is
     /// held for others.
@@ -39,7 +39,7 @@
     void receive(std::uint32_t given, Instant now);
 
     /// Operations that may be let in at once.
-    [[nodiscard]] double atHand(Instant now);
+    [[nodiscard]] double availableTokens(Instant now);
 
     /// Operations per second that it lets in.
     [[nodiscard]] double rate() const noexcept { return this->rule.ratePerSecond; }
--- a/include/cyclamendrift/membership/membership_view.h
+++ b/include/cyclamendrift/membership/membership_view.h
@@ -3,7 +3,7 @@
 #include <cyclamendrift/core/identifier.h>
 #include <cyclamendrift/core/instant.h>
 #include <cyclamendrift/core/random_source.h>
-#include <cyclamendrift/membership/home_map.h>
+#include <cyclamendrift/membership/owner_selection.h>
 
 #include <cstddef>
 #include <cstdint>
@@ -50,7 +50,7 @@
 /// others, then suspected, and only taken for dead when nobody has refuted that in time. The cost of an
 /// interval does not depend on the number of members.
 ///
-///     for (const auto& vm : view.pickProbes()) heartbeat(vm);
+///     for (const auto& vm : view.selectProbeTargets()) heartbeat(vm);
 ///     view.onContact(answer.sender, answer.rumours, now);
 ///     view.onUnreachable(vm, now); // neither this process nor its helpers reached it
 class MembershipView {
@@ -62,7 +62,7 @@
         /// How long a suspicion may be refuted.
         Duration suspicionTime = std::chrono::seconds { 2 };
         /// Rumours in one message.
-        std::size_t rumoursPerMessage = 8;
+        std::size_t gossipUpdatesPerMessage = 8;
         std::uint64_t randomSeed = 0;
     };
 
@@ -72,13 +72,13 @@
     void onList(std::span<const ListedVm> listed);
 
     /// A message of this VM arrived: it lives. Its rumours are taken in.
-    void onContact(const MemberRecord& sender, std::span<const MemberRecord> rumours, Instant now);
+    void onContact(const MemberRecord& sender, std::span<const MemberRecord> gossipUpdates, Instant now);
 
     /// Neither this process nor any helper reached a VM.
     void onUnreachable(const VmName& vm, Instant now);
 
     /// Notes that this process itself can or cannot reach a VM; others may see it otherwise.
-    void setLink(const VmName& vm, bool works);
+    void setLinkWorking(const VmName& vm, bool works);
 
     /// Turns suspicions that nobody refuted in time into deaths.
     void tick(Instant now);
@@ -87,14 +87,14 @@
     void leave();
 
     /// The peers to send a heartbeat to in this interval.
-    [[nodiscard]] std::vector<MemberRecord> pickProbes();
+    [[nodiscard]] std::vector<MemberRecord> selectProbeTargets();
 
     /// Up to `count` members to ask whether they can reach `target`.
-    [[nodiscard]] std::vector<MemberRecord> pickHelpers(const VmName& target, std::size_t count);
+    [[nodiscard]] std::vector<MemberRecord> selectIndirectProbers(const VmName& target, std::size_t count);
 
     /// Rumours for a message to a VM; what is thought of the receiver itself always goes along, or it could
     /// not refute it.
-    [[nodiscard]] std::vector<MemberRecord> takeRumours(const VmName& receiver);
+    [[nodiscard]] std::vector<MemberRecord> nextGossipUpdates(const VmName& receiver);
 
     /// This VM as it describes itself.
     [[nodiscard]] const MemberRecord& self() const noexcept { return this->options.self; }
@@ -106,7 +106,7 @@
     [[nodiscard]] std::vector<MemberRecord> members() const;
 
     /// The VMs that may be home of something: not dead, not leaving.
-    [[nodiscard]] std::vector<HomeCandidate> candidates() const;
+    [[nodiscard]] std::vector<OwnerCandidate> candidates() const;
 
     /// True when this process could not reach a VM lately.
     [[nodiscard]] bool linkBroken(const VmName& vm) const;
@@ -135,7 +135,7 @@
     RandomSource random;
     std::map<VmName, Entry> entries;
     /// VMs that there is news of, those to be told of next first.
-    std::deque<VmName> rumours;
+    std::deque<VmName> gossipUpdates;
     std::map<VmName, std::size_t> sendsLeft;
     std::vector<VmName> probeOrder;
     std::vector<VmName> suspects;
--- a/include/cyclamendrift/membership/vanished_vms.h
+++ b/include/cyclamendrift/membership/missing_vms.h
@@ -13,14 +13,14 @@
 /// Which VMs stay on the list though their records are gone. A VM that leaves or dies goes alone or with a
 /// few others; when many go at once their leases have lapsed while the store was away, and they come back one
 /// by one. Followed at once, each step would move homes, holders of limits and readers of the whole fleet.
-class VanishedVms {
+class MissingVms {
 public:
     /// Takes in whom the records name now, and returns those of `known` that stay all the same.
-    [[nodiscard]] std::vector<VmName> keep(
+    [[nodiscard]] std::vector<VmName> retain(
         std::span<const VmName> known, const std::set<VmName>& listed, Instant now);
 
     /// True while a VM stays that will go unless its record comes back.
-    [[nodiscard]] bool arePending() const noexcept { return !this->missingSince.empty(); }
+    [[nodiscard]] bool hasPending() const noexcept { return !this->missingSince.empty(); }
 
 private:
     std::map<VmName, Instant> missingSince;
--- a/include/cyclamendrift/membership/home_cache.h
+++ b/include/cyclamendrift/membership/owner_cache.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <cyclamendrift/membership/home_map.h>
+#include <cyclamendrift/membership/owner_selection.h>
 
 #include <mutex>
 #include <span>
@@ -15,21 +15,21 @@
 ///
 ///     cache.setCandidates(view.candidates());
 ///     const auto homes = cache.homes("database/register/beds", 2);
-class HomeCache {
+class OwnerCache {
 public:
     /// Replaces the candidates and forgets only those subjects whose homes may change by it.
-    void setCandidates(std::vector<HomeCandidate> next);
+    void setCandidates(std::vector<OwnerCandidate> next);
 
     /// The first `count` homes of a subject, best first; always asked with the same count for one subject.
-    [[nodiscard]] std::vector<HomeCandidate> homes(const std::string& subject, std::size_t count);
+    [[nodiscard]] std::vector<OwnerCandidate> owners(const std::string& subject, std::size_t count);
 
 private:
-    [[nodiscard]] static bool mayChange(const std::string& subject, std::span<const HomeCandidate> homes,
-        std::span<const HomeCandidate> added, std::span<const HomeCandidate> removed);
+    [[nodiscard]] static bool mayChange(const std::string& subject, std::span<const OwnerCandidate> owners,
+        std::span<const OwnerCandidate> added, std::span<const OwnerCandidate> removed);
 
     std::mutex mutex;
-    std::vector<HomeCandidate> candidates;
-    std::unordered_map<std::string, std::vector<HomeCandidate>> known;
+    std::vector<OwnerCandidate> candidates;
+    std::unordered_map<std::string, std::vector<OwnerCandidate>> known;
 };
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/membership/home_map.h
+++ b/include/cyclamendrift/membership/owner_selection.h
@@ -11,7 +11,7 @@
 namespace cyclamendrift {
 
 /// A VM as a candidate to be home of something.
-struct HomeCandidate {
+struct OwnerCandidate {
     VmName vm;
     ZoneName zone;
 };
@@ -28,8 +28,8 @@
 /// availability zone than the first wherever there is one. Removing a VM changes nothing for a subject that
 /// it was not chosen for.
 ///
-///     const auto homes = chooseHomes(candidates, "database/register/beds", 2);
-[[nodiscard]] std::vector<HomeCandidate> chooseHomes(
-    std::span<const HomeCandidate> candidates, std::string_view subject, std::size_t count);
+///     const auto homes = selectOwners(candidates, "database/register/beds", 2);
+[[nodiscard]] std::vector<OwnerCandidate> selectOwners(
+    std::span<const OwnerCandidate> candidates, std::string_view subject, std::size_t count);
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/membership/store_gate.h
+++ b/include/cyclamendrift/membership/store_call_throttle.h
@@ -11,19 +11,19 @@
 /// second. Those that are next to read go on; the others find out from them that it is back, and look for
 /// themselves now and then, as it may turn away just these.
 ///
-///     if (!choice.storeSeemsAway(now) || gate.mayTry(now))
+///     if (!choice.storeSeemsUnavailable(now) || gate.allowCall(now))
 ///         callStore();
-class StoreGate {
+class StoreCallThrottle {
 public:
     /// Takes in how many VMs there are.
-    void setFleet(std::size_t vms) noexcept { this->vms = vms; }
+    void setFleetSize(std::size_t vms) noexcept { this->vms = vms; }
 
     /// The store has answered a call of this VM.
     void answered(Instant now) noexcept { this->answeredAt = now; }
 
     /// True when this VM may call the store although siblings say that it is away; the next such call has to
     /// wait.
-    [[nodiscard]] bool mayTry(Instant now);
+    [[nodiscard]] bool allowCall(Instant now);
 
     /// When the store answered this VM last; Instant::min() if it never did.
     [[nodiscard]] Instant lastAnswer() const noexcept { return this->answeredAt; }
--- a/include/cyclamendrift/membership/reader_choice.h
+++ b/include/cyclamendrift/membership/store_reader_selector.h
@@ -15,10 +15,10 @@
 /// without those that could not help it lately. The next ones take the place of these and read as well, so
 /// that a reader that is gone, or that the store turns away, does not make every VM read for itself.
 ///
-///     choice.setOrder(strongestFirst(strengths), readers);
+///     choice.setOrder(rankByCores(strengths), readers);
 ///     while (const auto reader = choice.readerFor(self, rank, now))
-///         if (!answers(*reader)) choice.passOver(*reader, pause, now);
-class ReaderChoice {
+///         if (!answers(*reader)) choice.skipWithBackoff(*reader, pause, now);
+class StoreReaderSelector {
 public:
     /// Takes the order of all VMs in, and how many of them read.
     void setOrder(std::vector<VmName> vms, std::size_t wanted);
@@ -28,23 +28,24 @@
 
     /// True for the readers and those that come after them in the order, which would take their place,
     /// without those that do not answer.
-    [[nodiscard]] bool isNextToRead(const VmName& vm, Instant now) const;
+    [[nodiscard]] bool isReaderOrStandby(const VmName& vm, Instant now) const;
 
     /// Another one of these at each turn, and never `self`; empty when there is none.
-    [[nodiscard]] std::optional<VmName> nextToAsk(const VmName& self, std::size_t turn, Instant now) const;
+    [[nodiscard]] std::optional<VmName> candidateToAsk(
+        const VmName& self, std::size_t turn, Instant now) const;
 
     /// This VM did not answer; others take its place for `pause`, and longer each time that it happens again.
-    void passOver(const VmName& reader, Duration pause, Instant now);
+    void skipWithBackoff(const VmName& reader, Duration pause, Instant now);
     /// This VM answered, but with readings that are too old; others take its place until then.
-    void passOverOnce(const VmName& reader, Instant until) { this->silent.add(reader, until); }
+    void skipUntil(const VmName& reader, Instant until) { this->silent.add(reader, until); }
     /// This VM answered that the store has not answered it lately; others take its place until then.
-    void passOverWithoutStore(const VmName& reader, Instant until) { this->withoutStore.add(reader, until); }
+    void skipWithoutStore(const VmName& reader, Instant until) { this->withoutStore.add(reader, until); }
     /// This VM has read the store.
-    void hasRead(const VmName& reader);
+    void recordStoreRead(const VmName& reader);
 
     /// True when more VMs than there are readers have answered that they are without the store: it is more
     /// likely away for all than for these alone.
-    [[nodiscard]] bool storeSeemsAway(Instant now) const;
+    [[nodiscard]] bool storeSeemsUnavailable(Instant now) const;
 
 private:
     [[nodiscard]] std::vector<VmName> nextToRead(Instant now) const;
--- a/include/cyclamendrift/pooling/group_homes.h
+++ b/include/cyclamendrift/pooling/group_homes.h
@@ -22,7 +22,7 @@
 ///     if (order.front() != homes.self()) handOn(order.front(), work);
 class GroupHomes {
 public:
-    GroupHomes(VmName self, const std::map<VmName, VmStrength>& listed);
+    GroupHomes(VmName self, const std::map<VmName, VmCapacity>& listed);
 
     /// True when so many VMs are more than the homes of a service; with fewer every VM would be one.
     [[nodiscard]] static bool areUseful(std::size_t vms) noexcept;
@@ -55,7 +55,7 @@
 
     VmName own;
     /// The VMs among which homes are chosen.
-    std::map<VmName, VmStrength> candidates;
+    std::map<VmName, VmCapacity> candidates;
     std::map<ServiceName, Choice> choices;
 };
 
--- a/include/cyclamendrift/session_proxy/session_control.h
+++ b/include/cyclamendrift/session_proxy/session_control.h
@@ -2,7 +2,7 @@
 
 #include <cyclamendrift/core/identifier.h>
 #include <cyclamendrift/leadership/leader_coordinator.h>
-#include <cyclamendrift/limits/demand_shares.h>
+#include <cyclamendrift/limits/limit_shares.h>
 #include <cyclamendrift/platform/store.h>
 #include <cyclamendrift/session_proxy/ports.h>
 #include <cyclamendrift/session_proxy/session_traffic.h>
--- a/include/cyclamendrift/session_proxy/sibling_exchange.h
+++ b/include/cyclamendrift/session_proxy/sibling_exchange.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <cyclamendrift/limits/donor_choice.h>
+#include <cyclamendrift/limits/donor_selector.h>
 #include <cyclamendrift/pooling/session_engine.h>
 #include <cyclamendrift/siblings/sibling_client.h>
 #include <cyclamendrift/siblings/sibling_server.h>
@@ -20,13 +20,13 @@
 /// Another VM of the system, as its record in the store describes it.
 struct SiblingInfo {
     SiblingAddress address;
-    VmStrength strength;
+    VmCapacity strength;
     DemandByTeam demand;
 };
 using SiblingList = std::map<VmName, SiblingInfo>;
 
 /// What the records say of the VMs' strength.
-[[nodiscard]] std::map<VmName, VmStrength> strengthsOf(const SiblingList& siblings);
+[[nodiscard]] std::map<VmName, VmCapacity> strengthsOf(const SiblingList& siblings);
 
 /// A kind of question to siblings, and whether it leaves this VM's availability zone.
 struct SiblingTrafficKind {
--- a/src/configuration/configuration_trust.cpp
+++ b/src/configuration/configuration_trust.cpp
@@ -1,6 +1,6 @@
 #include <cyclamendrift/configuration/configuration_trust.h>
 
-#include <cyclamendrift/membership/home_map.h>
+#include <cyclamendrift/membership/owner_selection.h>
 
 #include <algorithm>
 
@@ -16,13 +16,13 @@
 
 std::vector<VmName> chooseWitnesses(std::span<const VmName> listed)
 {
-    std::vector<HomeCandidate> candidates;
+    std::vector<OwnerCandidate> candidates;
     candidates.reserve(listed.size());
     // One zone for all: witnesses are chosen by weight alone, so that a change of the list moves at most one.
     for (const auto& vm : listed)
         candidates.push_back({ .vm = vm, .zone = ZoneName {} });
     std::vector<VmName> names;
-    for (auto& chosen : chooseHomes(candidates, "witness", maxWitnesses))
+    for (auto& chosen : selectOwners(candidates, "witness", maxWitnesses))
         names.push_back(std::move(chosen.vm));
     return names;
 }
--- a/src/limits/donor_choice.cpp
+++ b/src/limits/donor_selector.cpp
@@ -1,10 +1,10 @@
-#include <cyclamendrift/limits/donor_choice.h>
+#include <cyclamendrift/limits/donor_selector.h>
 
 #include <algorithm>
 
 namespace cyclamendrift {
 
-std::vector<VmName> DonorChoice::choose(const TeamName& team, const VmName& self,
+std::vector<VmName> DonorSelector::select(const TeamName& team, const VmName& self,
     const std::map<VmName, DemandByTeam>& listed, std::size_t count, Instant now) const
 {
     std::vector<std::pair<double, VmName>> candidates;
@@ -20,10 +20,10 @@
     ordered.reserve(candidates.size());
     for (auto& [rate, vm] : candidates)
         ordered.push_back(std::move(vm));
-    return this->choose(team, ordered, count, now);
+    return this->select(team, ordered, count, now);
 }
 
-std::vector<VmName> DonorChoice::choose(
+std::vector<VmName> DonorSelector::select(
     const TeamName& team, const std::vector<VmName>& candidates, std::size_t count, Instant now) const
 {
     std::vector<VmName> chosen;
@@ -35,9 +35,9 @@
     return chosen;
 }
 
-void DonorChoice::gaveTooLittle(const TeamName& team, const VmName& vm, Instant now)
+void DonorSelector::recordShortfall(const TeamName& team, const VmName& vm, Instant now)
 {
-    this->passedOver.add({ team, vm }, now + pause);
+    this->passedOver.add({ team, vm }, now + shortfallPause);
 }
 
 } // namespace cyclamendrift
--- a/src/limits/limit_client.cpp
+++ b/src/limits/limit_client.cpp
@@ -20,11 +20,11 @@
 
 } // namespace
 
-void LimitClient::setShards(const LimitRule& wholeRule, std::span<const ShardPlace> places)
+void LimitClient::setShards(const LimitRule& wholeRule, std::span<const ShardRef> shardRefs)
 {
     this->rule = wholeRule;
     std::vector<Shard> next;
-    for (const auto& place : places) {
+    for (const auto& place : shardRefs) {
         if (auto* known = this->find(place))
             next.push_back(std::move(*known));
         else
@@ -33,7 +33,7 @@
     this->shards = std::move(next);
 }
 
-LimitClient::Shard* LimitClient::find(const ShardPlace& place)
+LimitClient::Shard* LimitClient::find(const ShardRef& place)
 {
     for (auto& shard : this->shards) {
         if (shard.place.index == place.index && shard.place.epoch == place.epoch)
@@ -51,10 +51,10 @@
 
 bool LimitClient::isIdle(Instant now) const noexcept
 {
-    return this->waiters.empty() && now - this->demandAt > this->options.idleTime;
+    return this->waiters.empty() && now - this->demandAt > this->options.idleTimeout;
 }
 
-Tokens LimitClient::atHand(Instant now) const
+Tokens LimitClient::availableTokens(Instant now) const
 {
     Tokens total;
     for (const auto& batch : this->batches) {
@@ -67,7 +67,7 @@
 bool LimitClient::spendOne(Instant now)
 {
     this->dropBatches(now);
-    if (this->atHand(now) < oneRequest)
+    if (this->availableTokens(now) < oneRequest)
         return false;
     auto needed = oneRequest;
     while (needed.millionths > 0) {
@@ -96,7 +96,7 @@
     std::erase_if(this->batches, [now](const Batch& batch) { return batch.spendUntil <= now; });
 }
 
-bool LimitClient::tryTake(Instant now)
+bool LimitClient::tryAcquire(Instant now)
 {
     this->noteDemand(now);
     return this->waiters.empty() && this->spendOne(now);
@@ -114,7 +114,7 @@
 {
     if (this->isIdle(now))
         return {};
-    const auto expected = this->demand * secondsOf(this->options.batchTime);
+    const auto expected = this->demand * secondsOf(this->options.targetBatchTime);
     const Tokens wanted { static_cast<std::int64_t>(expected) * oneRequest.millionths };
     const Tokens most { this->rule.burst.millionths / burstParts };
     return std::max(std::min(wanted, most), oneRequest);
@@ -123,7 +123,7 @@
 Tokens LimitClient::deficit(Instant now) const
 {
     const auto ahead = this->target(now);
-    auto have = this->atHand(now);
+    auto have = this->availableTokens(now);
     for (const auto& shard : this->shards)
         have += shard.asked.value_or(Tokens {});
     const bool low = have + have < ahead;
@@ -133,7 +133,7 @@
     return std::max(waiting + ahead - have, Tokens {});
 }
 
-bool LimitClient::wantsToAsk(Instant now) const
+bool LimitClient::hasRequests(Instant now) const
 {
     const auto canBeAsked = [now](const Shard& shard) { return !shard.asked && shard.askFrom <= now; };
     if (this->deficit(now).millionths > 0)
@@ -141,11 +141,11 @@
     return this->isIdle(now) && !this->batches.empty();
 }
 
-std::vector<ShardAsk> LimitClient::asks(Instant now)
+std::vector<ShardRequest> LimitClient::createRequests(Instant now)
 {
     this->dropBatches(now);
     if (this->isIdle(now))
-        return this->returnAll(now);
+        return this->returnAllGrants(now);
     // Returned in good time a token goes back into the bucket; left to lapse it would be lost to the team.
     for (const auto& batch : this->batches) {
         if (batch.spendUntil - now < returnBefore && this->waiters.empty())
@@ -167,7 +167,7 @@
     // One whole request at least from each: a single missing one is not asked for in three places.
     const auto requests = (missing.millionths + oneRequest.millionths - 1) / oneRequest.millionths;
     const auto count = std::min<std::int64_t>(requests, static_cast<std::int64_t>(ready.size()));
-    std::vector<ShardAsk> messages;
+    std::vector<ShardRequest> messages;
     for (std::int64_t i = 0; i < count; ++i) {
         auto& shard = *ready[static_cast<std::size_t>(i)];
         const Tokens want { (requests / count + (i < requests % count ? 1 : 0)) * oneRequest.millionths };
@@ -195,17 +195,17 @@
     const auto want = std::exchange(shard->asked, std::nullopt).value_or(Tokens {});
     shard->failed = false;
     if (answer.grant.amount < want)
-        shard->askFrom = now + std::max(answer.grant.retryAfter, this->options.askPause);
+        shard->askFrom = now + std::max(answer.grant.retryAfter, this->options.minRetryPause);
 }
 
-void LimitClient::onFailure(const ShardPlace& place, Instant now)
+void LimitClient::onFailure(const ShardRef& place, Instant now)
 {
     auto* shard = this->find(place);
     if (!shard)
         return;
     shard->asked.reset();
     shard->failed = true;
-    shard->askFrom = now + this->options.failurePause;
+    shard->askFrom = now + this->options.noAnswerPause;
 }
 
 Instant LimitClient::nextChance() const
@@ -216,9 +216,9 @@
     return next;
 }
 
-std::vector<AdmissionVerdict> LimitClient::verdicts(Instant now)
+std::vector<AdmissionResult> LimitClient::results(Instant now)
 {
-    std::vector<AdmissionVerdict> over;
+    std::vector<AdmissionResult> over;
     while (!this->waiters.empty() && this->spendOne(now)) {
         over.push_back({ .ticket = this->waiters.front().ticket, .admitted = true });
         this->waiters.pop_front();
@@ -246,20 +246,20 @@
         }
         const auto wait = shardsKnown ? served - now : Duration { std::chrono::seconds { 1 } };
         over.push_back({ .ticket = waiter.ticket,
-            .retryAfter = std::max<Duration>(wait, this->options.askPause),
+            .retryAfter = std::max<Duration>(wait, this->options.minRetryPause),
             .noOwner = noOwner });
     }
     this->waiters = std::move(staying);
     return over;
 }
 
-std::vector<ShardAsk> LimitClient::returnAll(Instant now)
+std::vector<ShardRequest> LimitClient::returnAllGrants(Instant now)
 {
     this->dropBatches(now);
     for (const auto& batch : this->batches)
         this->settle(batch);
     this->batches.clear();
-    std::vector<ShardAsk> messages;
+    std::vector<ShardRequest> messages;
     for (auto& shard : this->shards) {
         if (!shard.settlements.empty())
             messages.push_back({ .shard = shard.place, .settlements = std::exchange(shard.settlements, {}) });
--- a/src/limits/limit_holders.cpp
+++ b/src/limits/limit_holders.cpp
@@ -1,6 +1,6 @@
 #include <cyclamendrift/limits/limit_holders.h>
 
-#include <cyclamendrift/membership/home_map.h>
+#include <cyclamendrift/membership/owner_selection.h>
 
 #include <algorithm>
 #include <utility>
@@ -22,7 +22,7 @@
 
 } // namespace
 
-std::vector<VmName> strongestFirst(const std::map<VmName, VmStrength>& listed)
+std::vector<VmName> rankByCores(const std::map<VmName, VmCapacity>& listed)
 {
     std::vector<VmName> order;
     order.reserve(listed.size());
@@ -34,17 +34,17 @@
     return order;
 }
 
-LimitHolders::LimitHolders(std::map<VmName, VmStrength> listed)
+LimitHolders::LimitHolders(std::map<VmName, VmCapacity> listed)
     : listed(std::move(listed))
 {
-    this->strongest = strongestFirst(this->listed);
+    this->strongest = rankByCores(this->listed);
     const auto candidates = std::max(this->listed.size() / vmsPerHolder, leastCandidates);
     this->strongest.resize(std::min(this->strongest.size(), candidates));
 }
 
-bool LimitHolders::areAll() const noexcept { return this->listed.size() <= mostWithParts; }
+bool LimitHolders::includesAllVms() const noexcept { return this->listed.size() <= mostWithParts; }
 
-std::vector<VmName> LimitHolders::of(const TeamName& team) const
+std::vector<VmName> LimitHolders::holdersOf(const TeamName& team) const
 {
     auto holders = this->strongest;
     rankByRendezvous(holders, "limit/" + team.string());
@@ -54,7 +54,7 @@
 
 std::vector<VmName> LimitHolders::donorsFor(const TeamName& team, const VmName& asker) const
 {
-    auto donors = this->of(team);
+    auto donors = this->holdersOf(team);
     std::erase(donors, asker);
     rankByRendezvous(donors, asker.view());
     const auto own = this->listed.find(asker);
--- a/src/limits/demand_shares.cpp
+++ b/src/limits/limit_shares.cpp
@@ -1,4 +1,4 @@
-#include <cyclamendrift/limits/demand_shares.h>
+#include <cyclamendrift/limits/limit_shares.h>
 
 #include <algorithm>
 #include <cmath>
@@ -44,7 +44,7 @@
 
 } // namespace
 
-void DemandShares::update(const std::map<TeamName, TeamLimit>& limits, const VmName& self,
+void LimitShares::updateByDemand(const std::map<TeamName, TeamLimit>& limits, const VmName& self,
     const std::map<VmName, DemandByTeam>& listed, Instant now)
 {
     this->forgetAllBut(limits);
@@ -57,12 +57,12 @@
     }
 }
 
-void DemandShares::updateHeld(
+void LimitShares::updateByHolders(
     const std::map<TeamName, TeamLimit>& limits, const VmName& self, const LimitHolders& holders, Instant now)
 {
     this->forgetAllBut(limits);
     for (const auto& [team, limit] : limits) {
-        const auto chosen = holders.of(team);
+        const auto chosen = holders.holdersOf(team);
         TeamShare::Rule rule;
         if (std::find(chosen.begin(), chosen.end(), self) != chosen.end()) {
             const auto count = static_cast<double>(chosen.size());
@@ -74,12 +74,12 @@
     }
 }
 
-void DemandShares::forgetAllBut(const std::map<TeamName, TeamLimit>& limits)
+void LimitShares::forgetAllBut(const std::map<TeamName, TeamLimit>& limits)
 {
     std::erase_if(this->parts, [&limits](const auto& item) { return !limits.contains(item.first); });
 }
 
-void DemandShares::take(const TeamName& team, const TeamShare::Rule& rule, Instant now)
+void LimitShares::take(const TeamName& team, const TeamShare::Rule& rule, Instant now)
 {
     auto& history = this->parts[team];
     history.push_back({ .since = now, .rule = rule });
@@ -87,7 +87,7 @@
         history.pop_front();
 }
 
-std::map<TeamName, TeamShare::Rule> DemandShares::current() const
+std::map<TeamName, TeamShare::Rule> LimitShares::current() const
 {
     std::map<TeamName, TeamShare::Rule> rules;
     for (const auto& [team, history] : this->parts) {
@@ -119,7 +119,7 @@
         this->perSecond[team] += (1 - kept) * static_cast<double>(count) / elapsed.count();
 }
 
-bool DemandMeter::differs(const DemandByTeam& told, const DemandByTeam& now)
+bool DemandMeter::differsSignificantly(const DemandByTeam& told, const DemandByTeam& now)
 {
     std::set<TeamName> teams;
     for (const auto& [team, rate] : told)
--- a/src/limits/team_share.cpp
+++ b/src/limits/team_share.cpp
@@ -24,7 +24,7 @@
     this->level = std::min(this->level, std::max(wanted.burst, 0.0));
 }
 
-bool TeamShare::tryTake(Instant now)
+bool TeamShare::tryAcquire(Instant now)
 {
     this->accrue(now);
     if (this->level < 1)
@@ -49,7 +49,7 @@
     this->level += given;
 }
 
-double TeamShare::atHand(Instant now)
+double TeamShare::availableTokens(Instant now)
 {
     this->accrue(now);
     return this->level;
--- a/src/membership/membership_view.cpp
+++ b/src/membership/membership_view.cpp
@@ -51,7 +51,7 @@
 {
     auto& sendsLeft = this->sendsLeft[vm];
     if (sendsLeft == 0)
-        this->rumours.push_front(vm);
+        this->gossipUpdates.push_front(vm);
     sendsLeft = this->sendsPerRumour();
 }
 
@@ -102,7 +102,7 @@
     this->absorb(sender, now);
     for (const auto& claim : claims)
         this->absorb(claim, now);
-    this->setLink(sender.vm, true);
+    this->setLinkWorking(sender.vm, true);
 }
 
 void MembershipView::absorb(const MemberRecord& record, Instant now)
@@ -166,7 +166,7 @@
     this->spread(vm);
 }
 
-void MembershipView::setLink(const VmName& vm, bool works)
+void MembershipView::setLinkWorking(const VmName& vm, bool works)
 {
     const auto match = this->entries.find(vm);
     if (match == this->entries.end() || match->second.linkBroken == !works)
@@ -209,7 +209,7 @@
     this->spread(this->options.self.vm);
 }
 
-std::vector<MemberRecord> MembershipView::pickProbes()
+std::vector<MemberRecord> MembershipView::selectProbeTargets()
 {
     std::vector<MemberRecord> picked;
     const auto most = std::min(this->options.fanout, this->entries.size());
@@ -228,7 +228,7 @@
     return picked;
 }
 
-std::vector<MemberRecord> MembershipView::pickHelpers(const VmName& target, std::size_t count)
+std::vector<MemberRecord> MembershipView::selectIndirectProbers(const VmName& target, std::size_t count)
 {
     std::vector<const MemberRecord*> possible;
     for (const auto& [vm, entry] : this->entries) {
@@ -244,21 +244,21 @@
     return helpers;
 }
 
-std::vector<MemberRecord> MembershipView::takeRumours(const VmName& receiver)
+std::vector<MemberRecord> MembershipView::nextGossipUpdates(const VmName& receiver)
 {
     std::vector<MemberRecord> taken;
     const auto about = this->entries.find(receiver);
     if (about != this->entries.end() && about->second.record.state != MemberState::Live)
         taken.push_back(about->second.record);
-    const auto most = std::min(this->options.rumoursPerMessage, this->rumours.size());
+    const auto most = std::min(this->options.gossipUpdatesPerMessage, this->gossipUpdates.size());
     for (std::size_t i = 0; i < most; ++i) {
-        auto vm = std::move(this->rumours.front());
-        this->rumours.pop_front();
+        auto vm = std::move(this->gossipUpdates.front());
+        this->gossipUpdates.pop_front();
         if (const auto record = this->find(vm); record && vm != receiver)
             taken.push_back(*record);
         const auto sends = this->sendsLeft.find(vm);
         if (--sends->second > 0)
-            this->rumours.push_back(std::move(vm));
+            this->gossipUpdates.push_back(std::move(vm));
         else
             this->sendsLeft.erase(sends);
     }
@@ -286,9 +286,9 @@
     return all;
 }
 
-std::vector<HomeCandidate> MembershipView::candidates() const
+std::vector<OwnerCandidate> MembershipView::candidates() const
 {
-    std::vector<HomeCandidate> able;
+    std::vector<OwnerCandidate> able;
     if (this->options.self.state != MemberState::Leaving)
         able.push_back({ .vm = this->options.self.vm, .zone = this->options.self.zone });
     for (const auto& [vm, entry] : this->entries) {
--- a/src/membership/vanished_vms.cpp
+++ b/src/membership/missing_vms.cpp
@@ -1,4 +1,4 @@
-#include <cyclamendrift/membership/vanished_vms.h>
+#include <cyclamendrift/membership/missing_vms.h>
 
 #include <algorithm>
 #include <cstddef>
@@ -15,7 +15,7 @@
 
 } // namespace
 
-std::vector<VmName> VanishedVms::keep(
+std::vector<VmName> MissingVms::retain(
     std::span<const VmName> known, const std::set<VmName>& listed, Instant now)
 {
     std::vector<VmName> missing;
--- a/src/membership/home_cache.cpp
+++ b/src/membership/owner_cache.cpp
@@ -1,4 +1,4 @@
-#include <cyclamendrift/membership/home_cache.h>
+#include <cyclamendrift/membership/owner_cache.h>
 
 #include <algorithm>
 #include <iterator>
@@ -8,15 +8,15 @@
 
 namespace {
 
-bool comesBefore(const HomeCandidate& left, const HomeCandidate& right)
+bool comesBefore(const OwnerCandidate& left, const OwnerCandidate& right)
 {
     return std::pair { left.vm, left.zone } < std::pair { right.vm, right.zone };
 }
 
-std::vector<HomeCandidate> without(
-    std::span<const HomeCandidate> all, std::span<const HomeCandidate> excluded)
+std::vector<OwnerCandidate> without(
+    std::span<const OwnerCandidate> all, std::span<const OwnerCandidate> excluded)
 {
-    std::vector<HomeCandidate> rest;
+    std::vector<OwnerCandidate> rest;
     std::set_difference(
         all.begin(), all.end(), excluded.begin(), excluded.end(), std::back_inserter(rest), comesBefore);
     return rest;
@@ -24,26 +24,26 @@
 
 } // namespace
 
-bool HomeCache::mayChange(const std::string& subject, std::span<const HomeCandidate> homes,
-    std::span<const HomeCandidate> added, std::span<const HomeCandidate> removed)
+bool OwnerCache::mayChange(const std::string& subject, std::span<const OwnerCandidate> owners,
+    std::span<const OwnerCandidate> added, std::span<const OwnerCandidate> removed)
 {
-    for (const auto& home : homes) {
-        const auto isHome = [&home](const HomeCandidate& gone) { return gone.vm == home.vm; };
+    for (const auto& home : owners) {
+        const auto isHome = [&home](const OwnerCandidate& gone) { return gone.vm == home.vm; };
         if (std::any_of(removed.begin(), removed.end(), isHome))
             return true;
     }
     // A newcomer matters when it outranks any of the homes.
-    for (const auto& home : homes) {
+    for (const auto& home : owners) {
         const auto weight = rendezvousWeight(home.vm, subject);
         for (const auto& newcomer : added) {
             if (rendezvousWeight(newcomer.vm, subject) >= weight)
                 return true;
         }
     }
-    return homes.empty();
+    return owners.empty();
 }
 
-void HomeCache::setCandidates(std::vector<HomeCandidate> next)
+void OwnerCache::setCandidates(std::vector<OwnerCandidate> next)
 {
     std::sort(next.begin(), next.end(), comesBefore);
     const std::scoped_lock lock { this->mutex };
@@ -59,13 +59,13 @@
     this->candidates = std::move(next);
 }
 
-std::vector<HomeCandidate> HomeCache::homes(const std::string& subject, std::size_t count)
+std::vector<OwnerCandidate> OwnerCache::owners(const std::string& subject, std::size_t count)
 {
     const std::scoped_lock lock { this->mutex };
     const auto match = this->known.find(subject);
     if (match != this->known.end())
         return match->second;
-    return this->known.emplace(subject, chooseHomes(this->candidates, subject, count)).first->second;
+    return this->known.emplace(subject, selectOwners(this->candidates, subject, count)).first->second;
 }
 
 } // namespace cyclamendrift
--- a/src/membership/home_map.cpp
+++ b/src/membership/owner_selection.cpp
@@ -1,4 +1,4 @@
-#include <cyclamendrift/membership/home_map.h>
+#include <cyclamendrift/membership/owner_selection.h>
 
 #include <cyclamendrift/core/stable_hash.h>
 
@@ -17,7 +17,7 @@
 };
 
 const VmName& vmOf(const VmName& vm) { return vm; }
-const VmName& vmOf(const HomeCandidate& candidate) { return candidate.vm; }
+const VmName& vmOf(const OwnerCandidate& candidate) { return candidate.vm; }
 
 template <class Item> std::vector<Ranked<Item>> rank(std::span<const Item> items, std::string_view subject)
 {
@@ -49,8 +49,8 @@
     vms = std::move(sorted);
 }
 
-std::vector<HomeCandidate> chooseHomes(
-    std::span<const HomeCandidate> candidates, std::string_view subject, std::size_t count)
+std::vector<OwnerCandidate> selectOwners(
+    std::span<const OwnerCandidate> candidates, std::string_view subject, std::size_t count)
 {
     auto ranked = rank(candidates, subject);
     // Two homes in one availability zone would be lost together with it.
@@ -61,10 +61,10 @@
         if (elsewhere != ranked.end())
             std::rotate(ranked.begin() + 1, elsewhere, elsewhere + 1);
     }
-    std::vector<HomeCandidate> homes;
+    std::vector<OwnerCandidate> owners;
     for (const auto& entry : std::span { ranked }.first(std::min(count, ranked.size())))
-        homes.push_back(*entry.item);
-    return homes;
+        owners.push_back(*entry.item);
+    return owners;
 }
 
 } // namespace cyclamendrift
--- a/src/membership/store_gate.cpp
+++ b/src/membership/store_call_throttle.cpp
@@ -1,4 +1,4 @@
-#include <cyclamendrift/membership/store_gate.h>
+#include <cyclamendrift/membership/store_call_throttle.h>
 
 #include <algorithm>
 
@@ -15,7 +15,7 @@
 
 } // namespace
 
-bool StoreGate::mayTry(Instant now)
+bool StoreCallThrottle::allowCall(Instant now)
 {
     if (this->answeredAt != Instant::min() && now < this->answeredAt + answersLately)
         return true;
--- a/src/membership/reader_choice.cpp
+++ b/src/membership/store_reader_selector.cpp
@@ -1,4 +1,4 @@
-#include <cyclamendrift/membership/reader_choice.h>
+#include <cyclamendrift/membership/store_reader_selector.h>
 
 #include <algorithm>
 #include <cstddef>
@@ -13,13 +13,13 @@
 
 } // namespace
 
-void ReaderChoice::setOrder(std::vector<VmName> vms, std::size_t wanted)
+void StoreReaderSelector::setOrder(std::vector<VmName> vms, std::size_t wanted)
 {
     this->order = std::move(vms);
     this->readers = wanted;
 }
 
-std::optional<VmName> ReaderChoice::readerFor(const VmName& self, std::size_t rank, Instant now) const
+std::optional<VmName> StoreReaderSelector::readerFor(const VmName& self, std::size_t rank, Instant now) const
 {
     std::vector<VmName> reading;
     for (const auto& vm : this->order) {
@@ -35,7 +35,7 @@
     return reading[rank % reading.size()];
 }
 
-std::vector<VmName> ReaderChoice::nextToRead(Instant now) const
+std::vector<VmName> StoreReaderSelector::nextToRead(Instant now) const
 {
     std::vector<VmName> next;
     for (const auto& vm : this->order) {
@@ -47,33 +47,34 @@
     return next;
 }
 
-bool ReaderChoice::isNextToRead(const VmName& vm, Instant now) const
+bool StoreReaderSelector::isReaderOrStandby(const VmName& vm, Instant now) const
 {
     const auto next = this->nextToRead(now);
     return std::find(next.begin(), next.end(), vm) != next.end();
 }
 
-void ReaderChoice::passOver(const VmName& reader, Duration pause, Instant now)
+void StoreReaderSelector::skipWithBackoff(const VmName& reader, Duration pause, Instant now)
 {
     auto& before = this->silences[reader];
     this->silent.add(reader, now + pause * (1 << before));
     before = std::min(before + 1, mostDoublings);
 }
 
-void ReaderChoice::hasRead(const VmName& reader)
+void StoreReaderSelector::recordStoreRead(const VmName& reader)
 {
     this->silences.erase(reader);
     this->withoutStore.add(reader, Instant::min());
 }
 
-std::optional<VmName> ReaderChoice::nextToAsk(const VmName& self, std::size_t turn, Instant now) const
+std::optional<VmName> StoreReaderSelector::candidateToAsk(
+    const VmName& self, std::size_t turn, Instant now) const
 {
     auto next = this->nextToRead(now);
     std::erase(next, self);
     return next.empty() ? std::nullopt : std::optional { next[turn % next.size()] };
 }
 
-bool ReaderChoice::storeSeemsAway(Instant now) const
+bool StoreReaderSelector::storeSeemsUnavailable(Instant now) const
 {
     const auto without = std::count_if(this->order.begin(), this->order.end(),
         [this, now](const VmName& vm) { return this->withoutStore.contains(vm, now); });
--- a/src/pooling/engine_callers.cpp
+++ b/src/pooling/engine_callers.cpp
@@ -181,7 +181,7 @@
     if (!this->routes->limits.contains(session.team))
         return this->runOperation(session, std::move(query));
     auto& budget = this->budgets[session.team];
-    if (budget.waiting.empty() && budget.share.tryTake(this->now)) {
+    if (budget.waiting.empty() && budget.share.tryAcquire(this->now)) {
         session.charged = true;
         return this->runOperation(session, std::move(query));
     }
@@ -226,7 +226,7 @@
             budget.waiting.pop_front();
             continue;
         }
-        if (!budget.share.tryTake(this->now))
+        if (!budget.share.tryAcquire(this->now))
             break;
         budget.waiting.pop_front();
         auto query = std::move(session->waiting->query);
--- a/src/pooling/group_homes.cpp
+++ b/src/pooling/group_homes.cpp
@@ -1,6 +1,6 @@
 #include <cyclamendrift/pooling/group_homes.h>
 
-#include <cyclamendrift/membership/home_map.h>
+#include <cyclamendrift/membership/owner_selection.h>
 
 #include <algorithm>
 #include <cmath>
@@ -25,14 +25,14 @@
 constexpr double partOfProcessors = 0.25;
 constexpr std::size_t leastCandidates = std::size_t { 2 } * mostHomes;
 
-std::map<VmName, VmStrength> strongestOf(const std::map<VmName, VmStrength>& listed)
+std::map<VmName, VmCapacity> strongestOf(const std::map<VmName, VmCapacity>& listed)
 {
     double all = 0;
     for (const auto& [vm, strength] : listed)
         all += strength.cores;
-    std::map<VmName, VmStrength> chosen;
+    std::map<VmName, VmCapacity> chosen;
     double cores = 0;
-    for (const auto& vm : strongestFirst(listed)) {
+    for (const auto& vm : rankByCores(listed)) {
         if (chosen.size() >= leastCandidates && cores >= partOfProcessors * all)
             break;
         cores += listed.at(vm).cores;
@@ -43,7 +43,7 @@
 
 /// Rendezvous weight in proportion to a VM's strength: one with four times the processor is chosen four times
 /// as often.
-double weightOf(const VmName& vm, const VmStrength& strength, const std::string& subject)
+double weightOf(const VmName& vm, const VmCapacity& strength, const std::string& subject)
 {
     constexpr auto range = static_cast<double>(std::numeric_limits<std::uint64_t>::max());
     const auto drawn = (static_cast<double>(rendezvousWeight(vm, subject)) + 1) / (range + 2);
@@ -57,7 +57,7 @@
 
 } // namespace
 
-GroupHomes::GroupHomes(VmName self, const std::map<VmName, VmStrength>& listed)
+GroupHomes::GroupHomes(VmName self, const std::map<VmName, VmCapacity>& listed)
     : own(std::move(self))
     , candidates(strongestOf(listed))
 {
--- a/src/proxy/fleet_limits.cpp
+++ b/src/proxy/fleet_limits.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-[[noreturn]] void refuse(const TeamName& team, const AdmissionVerdict& verdict)
+[[noreturn]] void refuse(const TeamName& team, const AdmissionResult& verdict)
 {
     if (verdict.noOwner) {
         throw RequestError { { .outcome = Outcome::NotRun,
@@ -83,7 +83,7 @@
             match->second->shards[shard.index()] = shard;
     }
     for (const auto& [name, gate] : next) {
-        std::vector<ShardPlace> places;
+        std::vector<ShardRef> places;
         for (const auto& [index, shard] : gate->shards)
             places.push_back({ .index = index, .epoch = shard.epoch() });
         const std::scoped_lock lock { gate->mutex };
@@ -181,8 +181,8 @@
     {
         const auto now = this->context->now();
         const std::scoped_lock lock { gate->mutex };
-        admitted = gate->client.tryTake(now);
-        mustPump = admitted && !gate->pumpPosted && gate->client.wantsToAsk(now);
+        admitted = gate->client.tryAcquire(now);
+        mustPump = admitted && !gate->pumpPosted && gate->client.hasRequests(now);
         gate->pumpPosted = gate->pumpPosted || mustPump;
     }
     if (mustPump)
@@ -217,27 +217,27 @@
 void FleetLimits::pump(const GatePointer& gate)
 {
     const auto now = this->context->now();
-    std::vector<ShardAsk> messages;
-    std::vector<AdmissionVerdict> verdicts;
+    std::vector<ShardRequest> messages;
+    std::vector<AdmissionResult> results;
     {
         const std::scoped_lock lock { gate->mutex };
         gate->pumpPosted = false;
-        messages = gate->client.asks(now);
-        verdicts = gate->client.verdicts(now);
+        messages = gate->client.createRequests(now);
+        results = gate->client.results(now);
     }
-    this->resume(*gate, verdicts);
+    this->resume(*gate, results);
     this->sendAsks(gate, std::move(messages));
 }
 
-void FleetLimits::sendAsks(const GatePointer& gate, std::vector<ShardAsk> messages)
+void FleetLimits::sendAsks(const GatePointer& gate, std::vector<ShardRequest> messages)
 {
     for (auto& message : messages)
         this->context->spawn(sendAsk(this->context->hold(this), gate, std::move(message)));
 }
 
-void FleetLimits::resume(TeamGate& gate, const std::vector<AdmissionVerdict>& verdicts)
+void FleetLimits::resume(TeamGate& gate, const std::vector<AdmissionResult>& results)
 {
-    for (const auto& verdict : verdicts) {
+    for (const auto& verdict : results) {
         const auto match = gate.pending.find(static_cast<std::uint64_t>(verdict.ticket));
         if (match == gate.pending.end())
             continue;
@@ -247,7 +247,7 @@
     }
 }
 
-wire::LimitGrantRequest FleetLimits::toRequest(const TeamGate& gate, const ShardAsk& message) const
+wire::LimitGrantRequest FleetLimits::toRequest(const TeamGate& gate, const ShardRequest& message) const
 {
     wire::LimitGrantRequest request;
     request.set_team(gate.team.string());
@@ -263,7 +263,7 @@
 }
 
 asio::awaitable<void> FleetLimits::sendAsk(
-    std::shared_ptr<FleetLimits> self, GatePointer gate, ShardAsk message)
+    std::shared_ptr<FleetLimits> self, GatePointer gate, ShardRequest message)
 {
     const auto askedAt = self->context->now();
     wire::LimitGrantAnswer answer;
--- a/src/proxy/fleet_limits.h
+++ b/src/proxy/fleet_limits.h
@@ -60,7 +60,7 @@
 
     struct PendingAdmission {
         asio::steady_timer* wake = nullptr;
-        std::optional<AdmissionVerdict> verdict;
+        std::optional<AdmissionResult> verdict;
     };
 
     /// One team's limit on the way in.
@@ -87,16 +87,16 @@
     void updateOwned(const wire::ConfigurationDocument& document);
     void startOwned(Instant now);
     void pump(const GatePointer& gate);
-    void sendAsks(const GatePointer& gate, std::vector<ShardAsk> messages);
-    void resume(TeamGate& gate, const std::vector<AdmissionVerdict>& verdicts);
+    void sendAsks(const GatePointer& gate, std::vector<ShardRequest> messages);
+    void resume(TeamGate& gate, const std::vector<AdmissionResult>& results);
     void reassign(Instant now);
     [[nodiscard]] bool isGone(const wire::LimitShard& shard) const;
     [[nodiscard]] std::optional<MemberRecord> chooseOwner(
         const std::string& team, std::uint32_t index, const std::vector<std::string>& taken) const;
-    [[nodiscard]] wire::LimitGrantRequest toRequest(const TeamGate& gate, const ShardAsk& message) const;
+    [[nodiscard]] wire::LimitGrantRequest toRequest(const TeamGate& gate, const ShardRequest& message) const;
 
     static asio::awaitable<void> sendAsk(
-        std::shared_ptr<FleetLimits> self, GatePointer gate, ShardAsk message);
+        std::shared_ptr<FleetLimits> self, GatePointer gate, ShardRequest message);
     static asio::awaitable<void> waitForGrant(
         std::shared_ptr<FleetLimits> self, GatePointer gate, Instant deadline);
     static asio::awaitable<void> moveShards(
--- a/src/proxy/fleet_membership.cpp
+++ b/src/proxy/fleet_membership.cpp
@@ -63,7 +63,7 @@
 void FleetMembership::tick(Instant now)
 {
     this->members.tick(now);
-    for (auto& target : this->members.pickProbes())
+    for (auto& target : this->members.selectProbeTargets())
         this->context->spawn(probe(this->context->hold(this), std::move(target)));
     if (!this->fetching && now >= this->nextFetch) {
         this->fetching = true;
@@ -74,7 +74,7 @@
 
 void FleetMembership::announce()
 {
-    for (auto& target : this->members.pickHelpers(VmName {}, announceFanout))
+    for (auto& target : this->members.selectIndirectProbers(VmName {}, announceFanout))
         this->context->spawn(probe(this->context->hold(this), std::move(target)));
 }
 
@@ -90,7 +90,7 @@
     if (this->publishedVersion == this->members.version())
         return;
     this->publishedVersion = this->members.version();
-    this->homes.setCandidates(this->members.candidates());
+    this->owners.setCandidates(this->members.candidates());
     const std::scoped_lock lock { this->mutex };
     this->addresses.clear();
     for (const auto& member : this->members.members())
@@ -102,7 +102,7 @@
     wire::Heartbeat message;
     *message.mutable_sender() = toWire(this->members.self());
     message.set_sequence(this->callbacks.sequence());
-    for (const auto& rumour : this->members.takeRumours(to))
+    for (const auto& rumour : this->members.nextGossipUpdates(to))
         *message.add_rumours() = toWire(rumour);
     return message;
 }
@@ -130,7 +130,7 @@
 {
     const bool reached = co_await self->heartbeat(target);
     if (!reached) {
-        self->members.setLink(target.vm, false);
+        self->members.setLinkWorking(target.vm, false);
         if (target.state == MemberState::Live)
             self->tryHelpers(target);
     }
@@ -138,7 +138,7 @@
 
 void FleetMembership::tryHelpers(const MemberRecord& target)
 {
-    const auto helpers = this->members.pickHelpers(target.vm, helpersPerProbe);
+    const auto helpers = this->members.selectIndirectProbers(target.vm, helpersPerProbe);
     auto round = std::make_shared<ProbeRound>(ProbeRound { .target = target, .pending = helpers.size() });
     if (helpers.empty())
         this->finishRound(*round);
@@ -176,7 +176,7 @@
     wire::HeartbeatAnswer answer;
     *answer.mutable_sender() = toWire(this->members.self());
     answer.set_sequence(this->callbacks.sequence());
-    for (const auto& rumour : this->members.takeRumours(sender.vm))
+    for (const auto& rumour : this->members.nextGossipUpdates(sender.vm))
         *answer.add_rumours() = toWire(rumour);
     this->callbacks.writeStatements(answer);
     return answer;
@@ -243,7 +243,7 @@
 
 std::vector<SiblingAddress> FleetMembership::homesOf(const std::string& subject, std::size_t count) const
 {
-    const auto chosen = this->homes.homes(subject, count);
+    const auto chosen = this->owners.owners(subject, count);
     const std::scoped_lock lock { this->mutex };
     std::vector<SiblingAddress> reachable;
     std::vector<SiblingAddress> others;
--- a/src/proxy/fleet_membership.h
+++ b/src/proxy/fleet_membership.h
@@ -2,8 +2,8 @@
 
 #include "fleet_context.h"
 
-#include <cyclamendrift/membership/home_cache.h>
 #include <cyclamendrift/membership/membership_view.h>
+#include <cyclamendrift/membership/owner_cache.h>
 
 #include <functional>
 #include <memory>
@@ -82,7 +82,7 @@
     bool listReadable = false;
     std::uint64_t publishedVersion = 0;
 
-    mutable HomeCache homes;
+    mutable OwnerCache owners;
     mutable std::mutex mutex;
     std::map<VmName, Reachable> addresses;
     std::set<std::string> leavingUpstreams;
--- a/src/proxy/fleet_shard_moves.cpp
+++ b/src/proxy/fleet_shard_moves.cpp
@@ -32,7 +32,7 @@
     const auto candidates = this->membership.view().candidates();
     const auto subject = "limit/" + team + '/' + std::to_string(index);
     std::optional<MemberRecord> fallback;
-    for (const auto& candidate : chooseHomes(candidates, subject, candidates.size())) {
+    for (const auto& candidate : selectOwners(candidates, subject, candidates.size())) {
         auto member = this->membership.view().find(candidate.vm);
         if (!member || member->process == 0)
             continue;
@@ -98,7 +98,7 @@
     }
     this->goneSince = std::min(this->goneSince, now);
     // One mover after another, so that they do not all write at once; the first is enough unless it is gone.
-    const auto movers = chooseHomes(this->membership.view().candidates(), "limits", moverCount);
+    const auto movers = selectOwners(this->membership.view().candidates(), "limits", moverCount);
     for (std::size_t rank = 0; rank < movers.size(); ++rank) {
         const auto due = this->goneSince + moveAfter + moverStep * static_cast<int>(rank);
         if (movers[rank].vm == this->context->options.self.vm && now >= due) {
@@ -154,10 +154,10 @@
             all.push_back(gate);
     }
     for (const auto& gate : all) {
-        std::vector<ShardAsk> messages;
+        std::vector<ShardRequest> messages;
         {
             const std::scoped_lock lock { gate->mutex };
-            messages = gate->client.returnAll(now);
+            messages = gate->client.returnAllGrants(now);
         }
         this->sendAsks(gate, std::move(messages));
     }
--- a/src/session_proxy/control_leadership.cpp
+++ b/src/session_proxy/control_leadership.cpp
@@ -100,7 +100,7 @@
         std::exchange(this->whenReady, nullptr)();
     const auto now = bootNow();
     std::size_t index = 0;
-    const bool vouches = !this->siblingsOpen || this->readerChoice.isNextToRead(this->options.vm, now);
+    const bool vouches = !this->siblingsOpen || this->readerChoice.isReaderOrStandby(this->options.vm, now);
     for (auto& [service, coordinator] : this->coordinators) {
         // Each group begins with another VM, so that the duties spread.
         coordinator.setRank((this->place.rank + index++) % std::max<std::size_t>(this->place.vms, 1));
--- a/src/session_proxy/control_membership.cpp
+++ b/src/session_proxy/control_membership.cpp
@@ -139,9 +139,10 @@
         co_return;
     // In a large fleet demand decides nothing, and 70 VMs that tell theirs would be most of what the store
     // and siblings carry.
-    const auto rates = this->holders.areAll() ? this->demand.rates() : DemandByTeam {};
+    const auto rates = this->holders.includesAllVms() ? this->demand.rates() : DemandByTeam {};
     const bool told = this->toldUnder == this->recordLease;
-    if (told && (!this->holders.areAll() || !DemandMeter::differs(this->toldDemand, rates)))
+    if (told
+        && (!this->holders.includesAllVms() || !DemandMeter::differsSignificantly(this->toldDemand, rates)))
         co_return;
     co_await this->writeOwnRecord(rates);
     // The first try may meet the record of an earlier process, or a write of this one whose answer was lost.
@@ -247,7 +248,7 @@
                 pause = std::max(pause, self->vmSource.failed(error.what()));
             }
         }
-        if (self->vanished.arePending())
+        if (self->vanished.hasPending())
             self->takeVms();
         // Parts that are to grow do so some time after the list that they follow from.
         self->divideLimits();
@@ -266,7 +267,7 @@
         known.push_back(vm);
     for (const auto& [vm, sibling] : next)
         listed.insert(vm);
-    for (const auto& vm : this->vanished.keep(known, listed, bootNow()))
+    for (const auto& vm : this->vanished.retain(known, listed, bootNow()))
         next.emplace(vm, this->siblings.at(vm));
 }
 
@@ -295,11 +296,11 @@
     this->divideLimits();
 }
 
-void SessionControl::State::chooseReaders(const std::map<VmName, VmStrength>& strengths)
+void SessionControl::State::chooseReaders(const std::map<VmName, VmCapacity>& strengths)
 {
     const auto readers = 1 + strengths.size() / this->options.settings.vmsPerReader;
-    this->readerChoice.setOrder(strongestFirst(strengths), readers);
-    this->storeGate.setFleet(strengths.size());
+    this->readerChoice.setOrder(rankByCores(strengths), readers);
+    this->storeGate.setFleetSize(strengths.size());
 }
 
 void SessionControl::State::divideLimits()
@@ -307,13 +308,13 @@
     if (!this->routes)
         return;
     const auto now = bootNow();
-    if (this->holders.areAll()) {
+    if (this->holders.includesAllVms()) {
         std::map<VmName, DemandByTeam> listed;
         for (const auto& [vm, sibling] : this->siblings)
             listed[vm] = sibling.demand;
-        this->shares.update(this->routes->limits, this->options.vm, listed, now);
+        this->shares.updateByDemand(this->routes->limits, this->options.vm, listed, now);
     } else {
-        this->shares.updateHeld(this->routes->limits, this->options.vm, this->holders, now);
+        this->shares.updateByHolders(this->routes->limits, this->options.vm, this->holders, now);
     }
     this->handedOn = this->shares.current();
     this->options.traffic.setShares(this->handedOn);
--- a/src/session_proxy/control_readings.cpp
+++ b/src/session_proxy/control_readings.cpp
@@ -91,15 +91,15 @@
 bool SessionControl::State::mayCallStore()
 {
     const auto now = bootNow();
-    return !this->siblingsOpen || this->readerChoice.isNextToRead(this->options.vm, now)
-        || !this->readerChoice.storeSeemsAway(now) || this->storeGate.mayTry(now);
+    return !this->siblingsOpen || this->readerChoice.isReaderOrStandby(this->options.vm, now)
+        || !this->readerChoice.storeSeemsUnavailable(now) || this->storeGate.allowCall(now);
 }
 
 asio::awaitable<bool> SessionControl::State::askReaders(Duration pause)
 {
     const auto& settings = this->options.settings;
     // While the store is away, what replicas vouch for still has to come from somebody.
-    const bool away = this->readerChoice.storeSeemsAway(bootNow());
+    const bool away = this->readerChoice.storeSeemsUnavailable(bootNow());
     for (int silent = 0; silent < silentReadersAsked;) {
         // This VM's own readings must not grow older than those that siblings can use.
         auto reader = this->readerToAsk();
@@ -107,7 +107,7 @@
             co_return false;
         if (away) {
             const auto turn = this->place.rank + this->readerTurn++;
-            reader = this->readerChoice.nextToAsk(this->options.vm, turn, bootNow());
+            reader = this->readerChoice.candidateToAsk(this->options.vm, turn, bootNow());
             if (!reader)
                 break;
         }
@@ -115,18 +115,18 @@
         const auto answer = co_await this->askReader(address);
         const auto now = bootNow();
         if (answer == ReaderAnswer::Fresh) {
-            this->readerChoice.hasRead(*reader);
+            this->readerChoice.recordStoreRead(*reader);
             co_return true;
         }
         if (answer == ReaderAnswer::WithoutStore) {
-            this->readerChoice.passOverWithoutStore(*reader, now + settings.withoutStorePause);
+            this->readerChoice.skipWithoutStore(*reader, now + settings.withoutStorePause);
         } else if (answer == ReaderAnswer::Old) {
-            this->readerChoice.passOverOnce(*reader, now + settings.leadershipInterval);
+            this->readerChoice.skipUntil(*reader, now + settings.leadershipInterval);
         } else {
-            this->readerChoice.passOver(*reader, pause, now);
+            this->readerChoice.skipWithBackoff(*reader, pause, now);
             ++silent;
         }
-        if (away || this->readerChoice.storeSeemsAway(now))
+        if (away || this->readerChoice.storeSeemsUnavailable(now))
             break;
     }
     // Readers that are without the store pass on what replicas vouch for.
--- a/src/session_proxy/control_state.h
+++ b/src/session_proxy/control_state.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include <cyclamendrift/membership/reader_choice.h>
-#include <cyclamendrift/membership/store_gate.h>
-#include <cyclamendrift/membership/vanished_vms.h>
+#include <cyclamendrift/membership/missing_vms.h>
+#include <cyclamendrift/membership/store_call_throttle.h>
+#include <cyclamendrift/membership/store_reader_selector.h>
 #include <cyclamendrift/runtime/asio_timer_service.h>
 #include <cyclamendrift/session_proxy/byte_budget.h>
 #include <cyclamendrift/session_proxy/metered_store.h>
@@ -88,16 +88,16 @@
     LeaseId lease = LeaseId::None;
     LeaseId recordLease = LeaseId::None;
     Instant leaseUntil = Instant::min();
-    DemandShares shares;
+    LimitShares shares;
     std::map<TeamName, TeamShare::Rule> handedOn;
     DemandMeter demand;
     DemandByTeam toldDemand;
     SiblingList siblings;
     LimitHolders holders;
     /// The VMs in the order in which they are to read the store for the others.
-    ReaderChoice readerChoice;
-    StoreGate storeGate;
-    VanishedVms vanished;
+    StoreReaderSelector readerChoice;
+    StoreCallThrottle storeGate;
+    MissingVms vanished;
     EngineCounters counters;
     std::size_t callers = 0;
     std::size_t connections = 0;
@@ -197,7 +197,7 @@
     void takeVms();
     /// Puts VMs back whose records have lapsed with many others.
     void keepVanished(SiblingList& next);
-    void chooseReaders(const std::map<VmName, VmStrength>& strengths);
+    void chooseReaders(const std::map<VmName, VmCapacity>& strengths);
     void divideLimits();
 
     std::unique_ptr<TimerService::Subscription> ticks;
--- a/src/session_proxy/sibling_exchange.cpp
+++ b/src/session_proxy/sibling_exchange.cpp
@@ -97,11 +97,11 @@
         } catch (const Error&) {
             // A sibling that cannot be asked gives nothing; if its answer was lost, what it took out is lost
             // with it.
-            this->donors.didNotAnswer(vm, bootNow());
+            this->donors.recordNoAnswer(vm, bootNow());
             co_return 0;
         }
         if (given < wanted)
-            this->donors.gaveTooLittle(team, vm, bootNow());
+            this->donors.recordShortfall(team, vm, bootNow());
         co_return given;
     }
 
@@ -151,13 +151,13 @@
     [[nodiscard]] std::vector<VmName> donorsFor(const TeamName& team) const
     {
         const auto now = bootNow();
-        if (!this->holders.areAll())
-            return this->donors.choose(
+        if (!this->holders.includesAllVms())
+            return this->donors.select(
                 team, this->holders.donorsFor(team, this->options.self), siblingsAsked, now);
         std::map<VmName, DemandByTeam> listed;
         for (const auto& [vm, sibling] : this->siblings)
             listed[vm] = sibling.demand;
-        return this->donors.choose(team, this->options.self, listed, siblingsAsked, now);
+        return this->donors.select(team, this->options.self, listed, siblingsAsked, now);
     }
 
     [[nodiscard]] static asio::awaitable<void> askAround(std::shared_ptr<State> self, TeamName team,
@@ -176,14 +176,14 @@
     SiblingList siblings;
     SiblingTraffic traffic;
     LimitHolders holders;
-    DonorChoice donors;
+    DonorSelector donors;
     std::unique_ptr<SiblingClient> client;
     std::unique_ptr<SiblingServer> server;
 };
 
-std::map<VmName, VmStrength> strengthsOf(const SiblingList& siblings)
+std::map<VmName, VmCapacity> strengthsOf(const SiblingList& siblings)
 {
-    std::map<VmName, VmStrength> strengths;
+    std::map<VmName, VmCapacity> strengths;
     for (const auto& [vm, sibling] : siblings)
         strengths.emplace(vm, sibling.strength);
     return strengths;
--- a/tests/limits/limit_holders_test.cpp
+++ b/tests/limits/limit_holders_test.cpp
@@ -1,5 +1,5 @@
-#include <cyclamendrift/limits/demand_shares.h>
 #include <cyclamendrift/limits/limit_holders.h>
+#include <cyclamendrift/limits/limit_shares.h>
 #include <cyclamendrift/limits/team_share.h>
 
 #include <doctest/doctest.h>
@@ -16,10 +16,10 @@
 const TeamName team { "clinic" };
 
 /// Six strong VMs and others of an eighth of a core, in three availability zones.
-std::map<VmName, VmStrength> fleetOf(std::size_t vms)
+std::map<VmName, VmCapacity> fleetOf(std::size_t vms)
 {
     constexpr std::size_t strong = 6;
-    std::map<VmName, VmStrength> listed;
+    std::map<VmName, VmCapacity> listed;
     for (std::size_t index = 0; index < vms; ++index)
         listed[VmName { "vm-" + std::to_string(index) }]
             = { .zone = ZoneName { "zone-" + std::to_string(index % 3) },
@@ -28,13 +28,13 @@
 }
 
 /// The part of each VM, once every VM has had time to read the list.
-std::map<VmName, TeamShare> sharesOf(const std::map<VmName, VmStrength>& listed, const TeamLimit& limit)
+std::map<VmName, TeamShare> sharesOf(const std::map<VmName, VmCapacity>& listed, const TeamLimit& limit)
 {
     const LimitHolders holders { listed };
     std::map<VmName, TeamShare> shares;
     for (const auto& [vm, strength] : listed) {
-        DemandShares parts;
-        parts.updateHeld({ { team, limit } }, vm, holders, Instant { 1s });
+        LimitShares parts;
+        parts.updateByHolders({ { team, limit } }, vm, holders, Instant { 1s });
         shares[vm].setRule(parts.current().at(team), Instant { 1s });
     }
     return shares;
@@ -51,7 +51,7 @@
         // told that its team is over its rate, though the team sends half of what it may.
         const auto listed = fleetOf(70);
         const LimitHolders holders { listed };
-        REQUIRE_FALSE(holders.areAll());
+        REQUIRE_FALSE(holders.includesAllVms());
         auto shares = sharesOf(listed, { .ratePerSecond = 8, .burst = 8 });
         std::size_t refused = 0;
         std::size_t asked = 0;
@@ -59,7 +59,7 @@
             const auto now = Instant { 2s } + step * 250ms;
             const VmName entry { "vm-" + std::to_string((step * 29) % 70) };
             ++asked;
-            bool admitted = shares[entry].tryTake(now);
+            bool admitted = shares[entry].tryAcquire(now);
             for (const auto& donor : holders.donorsFor(team, entry)) {
                 if (!admitted)
                     admitted = shares[donor].give(1, now) == 1;
@@ -77,7 +77,7 @@
         // the team's callers come to, they would be told that it is over its rate.
         const auto listed = fleetOf(70);
         auto shares = sharesOf(listed, { .ratePerSecond = 4, .burst = 4 });
-        for (const auto& holder : LimitHolders { listed }.of(team))
+        for (const auto& holder : LimitHolders { listed }.holdersOf(team))
             CHECK(shares[holder].give(1, Instant { 5s }) == 1);
     }
 
@@ -87,9 +87,9 @@
         double rate = 0;
         double burst = 0;
         for (const auto& [vm, strength] : listed) {
-            DemandShares parts;
-            parts.updateHeld({ { team, { .ratePerSecond = 3, .burst = 2 } } }, vm, LimitHolders { listed },
-                Instant { 1s });
+            LimitShares parts;
+            parts.updateByHolders({ { team, { .ratePerSecond = 3, .burst = 2 } } }, vm,
+                LimitHolders { listed }, Instant { 1s });
             rate += parts.current().at(team).ratePerSecond;
             burst += parts.current().at(team).burst;
         }
@@ -100,8 +100,8 @@
     TEST_CASE("the holders are strong VMs, and the same on every VM")
     {
         const auto listed = fleetOf(70);
-        const auto chosen = LimitHolders { listed }.of(team);
-        CHECK(chosen == LimitHolders { listed }.of(team));
+        const auto chosen = LimitHolders { listed }.holdersOf(team);
+        CHECK(chosen == LimitHolders { listed }.holdersOf(team));
         REQUIRE(chosen.size() == 4);
         CHECK(std::all_of(
             chosen.begin(), chosen.end(), [&](const VmName& vm) { return listed.at(vm).cores > 0.4; }));
@@ -114,7 +114,7 @@
         const auto listed = fleetOf(70);
         const LimitHolders holders { listed };
         auto shares = sharesOf(listed, { .ratePerSecond = 20, .burst = 20 });
-        const auto dead = holders.of(team).front();
+        const auto dead = holders.holdersOf(team).front();
         const VmName entry { "vm-40" };
         std::size_t refused = 0;
         for (int step = 0; step < 60; ++step) {
@@ -135,18 +135,19 @@
         // not read the list still ask the old one, the team would get a quarter more than its rate.
         auto listed = fleetOf(70);
         const std::map<TeamName, TeamLimit> limits { { team, { .ratePerSecond = 40, .burst = 40 } } };
-        const auto before = LimitHolders { listed }.of(team);
+        const auto before = LimitHolders { listed }.holdersOf(team);
         listed.erase(before.front());
-        const auto after = LimitHolders { listed }.of(team);
+        const auto after = LimitHolders { listed }.holdersOf(team);
         const auto added = *std::find_if(after.begin(), after.end(), [&before](const VmName& vm) {
             return std::find(before.begin(), before.end(), vm) == before.end();
         });
-        DemandShares parts;
-        parts.updateHeld(limits, added, LimitHolders { fleetOf(70) }, Instant { 1s });
-        parts.updateHeld(limits, added, LimitHolders { listed }, Instant { 5s });
+        LimitShares parts;
+        parts.updateByHolders(limits, added, LimitHolders { fleetOf(70) }, Instant { 1s });
+        parts.updateByHolders(limits, added, LimitHolders { listed }, Instant { 5s });
         CHECK(parts.current().at(team).ratePerSecond == 0);
-        parts.updateHeld(limits, added, LimitHolders { listed }, Instant { 5s } + DemandShares::growthDelay);
-        parts.updateHeld(limits, added, LimitHolders { listed }, Instant { 8s });
+        parts.updateByHolders(
+            limits, added, LimitHolders { listed }, Instant { 5s } + LimitShares::growthDelay);
+        parts.updateByHolders(limits, added, LimitHolders { listed }, Instant { 8s });
         CHECK(parts.current().at(team).ratePerSecond == doctest::Approx(10));
     }
 }
--- a/tests/limits/limit_shard_test.cpp
+++ b/tests/limits/limit_shard_test.cpp
@@ -76,14 +76,14 @@
     TEST_CASE("a paused proxy spends nothing of a grant that is over")
     {
         LimitClient client { {} };
-        const std::array places { ShardPlace { .index = 0, .epoch = 1 } };
-        client.setShards(rule(10, 100), places);
-        CHECK(!client.tryTake(start));
+        const std::array shardRefs { ShardRef { .index = 0, .epoch = 1 } };
+        client.setShards(rule(10, 100), shardRefs);
+        CHECK(!client.tryAcquire(start));
         client.onAnswer(
-            { .shard = places[0], .grant = { .id = 1, .amount = requests(5) }, .askedAt = start }, start);
-        CHECK(client.tryTake(start + 900ms));
-        CHECK(!client.tryTake(start + 1000ms));
-        CHECK(!client.tryTake(start + 30s));
+            { .shard = shardRefs[0], .grant = { .id = 1, .amount = requests(5) }, .askedAt = start }, start);
+        CHECK(client.tryAcquire(start + 900ms));
+        CHECK(!client.tryAcquire(start + 1000ms));
+        CHECK(!client.tryAcquire(start + 30s));
     }
 
     TEST_CASE("a change of the rule fills nothing")
@@ -97,17 +97,17 @@
     TEST_CASE("a waiting request is refused at once when no grant can come in time")
     {
         LimitClient client { {} };
-        const std::array places { ShardPlace { .index = 0, .epoch = 1 } };
-        client.setShards(rule(1, 4), places);
-        CHECK(!client.tryTake(start));
+        const std::array shardRefs { ShardRef { .index = 0, .epoch = 1 } };
+        client.setShards(rule(1, 4), shardRefs);
+        CHECK(!client.tryAcquire(start));
         static_cast<void>(client.wait(start, start + 10s));
-        REQUIRE(client.asks(start).size() == 1);
-        CHECK(client.verdicts(start).empty());
+        REQUIRE(client.createRequests(start).size() == 1);
+        CHECK(client.results(start).empty());
         client.onAnswer(
-            { .shard = places[0], .grant = { .retryAfter = 900ms }, .askedAt = start }, start + 2ms);
-        const auto verdicts = client.verdicts(start + 2ms);
-        REQUIRE(verdicts.size() == 1);
-        CHECK(!verdicts[0].admitted);
-        CHECK(verdicts[0].retryAfter >= 800ms);
+            { .shard = shardRefs[0], .grant = { .retryAfter = 900ms }, .askedAt = start }, start + 2ms);
+        const auto results = client.results(start + 2ms);
+        REQUIRE(results.size() == 1);
+        CHECK(!results[0].admitted);
+        CHECK(results[0].retryAfter >= 800ms);
     }
 }
--- a/tests/limits/team_share_test.cpp
+++ b/tests/limits/team_share_test.cpp
@@ -1,5 +1,5 @@
-#include <cyclamendrift/limits/demand_shares.h>
-#include <cyclamendrift/limits/donor_choice.h>
+#include <cyclamendrift/limits/donor_selector.h>
+#include <cyclamendrift/limits/limit_shares.h>
 #include <cyclamendrift/limits/team_share.h>
 
 #include <property.h>
@@ -35,8 +35,8 @@
         double rate = 0;
         std::vector<double> parts;
         for (const auto& [vm, demand] : listed) {
-            DemandShares shares;
-            shares.update(limits, vm, listed, Instant { 1s });
+            LimitShares shares;
+            shares.updateByDemand(limits, vm, listed, Instant { 1s });
             parts.push_back(shares.current().at(team).ratePerSecond);
             rate += parts.back();
         }
@@ -49,16 +49,16 @@
     {
         // Callers move from one VM to another. If the second used its larger part before the first had given
         // it up, the team would get more than its rate for as long as the lists differ.
-        DemandShares shares;
+        LimitShares shares;
         const VmName self { "vm-0" };
-        shares.update(limits, self, listOf({ 10, 90 }), Instant { 1s });
+        shares.updateByDemand(limits, self, listOf({ 10, 90 }), Instant { 1s });
         const auto before = shares.current().at(team).ratePerSecond;
-        shares.update(limits, self, listOf({ 90, 10 }), Instant { 2s });
+        shares.updateByDemand(limits, self, listOf({ 90, 10 }), Instant { 2s });
         CHECK(shares.current().at(team).ratePerSecond == doctest::Approx(before));
-        shares.update(limits, self, listOf({ 90, 10 }), Instant { 3s + 400ms });
-        shares.update(limits, self, listOf({ 90, 10 }), Instant { 4s });
+        shares.updateByDemand(limits, self, listOf({ 90, 10 }), Instant { 3s + 400ms });
+        shares.updateByDemand(limits, self, listOf({ 90, 10 }), Instant { 4s });
         CHECK(shares.current().at(team).ratePerSecond > before);
-        shares.update(limits, self, listOf({ 10, 90 }), Instant { 5s });
+        shares.updateByDemand(limits, self, listOf({ 10, 90 }), Instant { 5s });
         CHECK(shares.current().at(team).ratePerSecond == doctest::Approx(before));
     }
 
@@ -69,7 +69,7 @@
         TeamShare share;
         share.setRule({ .ratePerSecond = 8, .burst = 50 }, Instant { 1s });
         int admitted = 0;
-        while (share.tryTake(Instant { 1s }))
+        while (share.tryAcquire(Instant { 1s }))
             ++admitted;
         CHECK(admitted == 2);
     }
@@ -93,7 +93,7 @@
                 if (random() % 3 == 0 && &one != &other)
                     one.receive(other.give(static_cast<std::uint32_t>(random() % 4), now), now);
                 for (int asked = 0; asked < 3; ++asked)
-                    admitted += one.tryTake(now) ? 1 : 0;
+                    admitted += one.tryAcquire(now) ? 1 : 0;
             }
             const std::chrono::duration<double> window = now - start - 3s;
             RC_ASSERT(admitted <= 100 * window.count() + 50 + 1);
@@ -102,30 +102,30 @@
 
     TEST_CASE("siblings with the largest part are asked first, those that had too little are passed over")
     {
-        DonorChoice donors;
+        DonorSelector donors;
         const Instant now { 1s };
         const auto listed = listOf({ 5, 40, 10, 30 });
         const VmName self { "vm-1" };
-        CHECK(donors.choose(team, self, listed, 2, now)
+        CHECK(donors.select(team, self, listed, 2, now)
             == std::vector { VmName { "vm-3" }, VmName { "vm-2" } });
-        donors.gaveTooLittle(team, VmName { "vm-3" }, now);
-        CHECK(donors.choose(team, self, listed, 2, now)
+        donors.recordShortfall(team, VmName { "vm-3" }, now);
+        CHECK(donors.select(team, self, listed, 2, now)
             == std::vector { VmName { "vm-2" }, VmName { "vm-0" } });
-        CHECK(donors.choose(team, self, listed, 1, now + 200ms) == std::vector { VmName { "vm-3" } });
+        CHECK(donors.select(team, self, listed, 1, now + 200ms) == std::vector { VmName { "vm-3" } });
     }
 
     TEST_CASE("a sibling that does not answer is left alone for every team, one that is spent for its own")
     {
         // Guards against operations that spend all their time on siblings behind a partition.
-        DonorChoice donors;
+        DonorSelector donors;
         const Instant now { 1s };
         const TeamName other { "other" };
         const std::vector<VmName> holders { VmName { "vm-0" }, VmName { "vm-1" }, VmName { "vm-2" } };
-        donors.didNotAnswer(VmName { "vm-0" }, now);
-        donors.gaveTooLittle(team, VmName { "vm-1" }, now);
-        CHECK(donors.choose(team, holders, 4, now) == std::vector { VmName { "vm-2" } });
-        CHECK(donors.choose(other, holders, 4, now + 200ms)
+        donors.recordNoAnswer(VmName { "vm-0" }, now);
+        donors.recordShortfall(team, VmName { "vm-1" }, now);
+        CHECK(donors.select(team, holders, 4, now) == std::vector { VmName { "vm-2" } });
+        CHECK(donors.select(other, holders, 4, now + 200ms)
             == std::vector { VmName { "vm-1" }, VmName { "vm-2" } });
-        CHECK(donors.choose(team, holders, 4, now + 300ms) == holders);
+        CHECK(donors.select(team, holders, 4, now + 300ms) == holders);
     }
 }
--- a/tests/membership/membership_view_test.cpp
+++ b/tests/membership/membership_view_test.cpp
@@ -1,5 +1,5 @@
-#include <cyclamendrift/membership/home_cache.h>
 #include <cyclamendrift/membership/membership_view.h>
+#include <cyclamendrift/membership/owner_cache.h>
 
 #include <property.h>
 
@@ -36,7 +36,7 @@
 {
     const auto all = view.candidates();
     return std::any_of(all.begin(), all.end(),
-        [&](const HomeCandidate& candidate) { return candidate.vm.string() == name; });
+        [&](const OwnerCandidate& candidate) { return candidate.vm.string() == name; });
 }
 
 } // namespace
@@ -111,18 +111,18 @@
             for (std::size_t i = 0; i < count; ++i)
                 listed.push_back({ .vm = VmName { std::to_string(i) }, .zone = ZoneName { "z" } });
             view.onList(listed);
-            CHECK(view.pickProbes().size() == 2);
-            CHECK(view.takeRumours(VmName { "0" }).size() <= 8);
+            CHECK(view.selectProbeTargets().size() == 2);
+            CHECK(view.nextGossipUpdates(VmName { "0" }).size() <= 8);
         }
     }
 
     TEST_CASE("cached homes are those that ranking anew gives")
     {
         checkProperty("cache", [] {
-            std::vector<HomeCandidate> all;
+            std::vector<OwnerCandidate> all;
             for (int i = 0; i < 90; ++i)
                 all.push_back({ VmName { std::to_string(i) }, ZoneName { std::to_string(i % 4) } });
-            HomeCache cache;
+            OwnerCache cache;
             for (int round = 0; round < 4; ++round) {
                 auto some = all;
                 const auto cut = *rc::gen::inRange(0, 20);
@@ -131,8 +131,8 @@
                         + *rc::gen::inRange<std::ptrdiff_t>(0, static_cast<std::ptrdiff_t>(some.size())));
                 cache.setCandidates(some);
                 for (int subject = 0; subject < 30; ++subject) {
-                    const auto cached = cache.homes(std::to_string(subject), 2);
-                    const auto ranked = chooseHomes(some, std::to_string(subject), 2);
+                    const auto cached = cache.owners(std::to_string(subject), 2);
+                    const auto ranked = selectOwners(some, std::to_string(subject), 2);
                     RC_ASSERT(cached[0].vm == ranked[0].vm);
                     RC_ASSERT(cached[1].vm == ranked[1].vm);
                 }
--- a/tests/membership/home_map_test.cpp
+++ b/tests/membership/owner_selection_test.cpp
@@ -1,4 +1,4 @@
-#include <cyclamendrift/membership/home_map.h>
+#include <cyclamendrift/membership/owner_selection.h>
 
 #include <property.h>
 
@@ -9,9 +9,9 @@
 
 namespace {
 
-std::vector<HomeCandidate> makeCandidates(std::size_t count, std::size_t zones)
+std::vector<OwnerCandidate> makeCandidates(std::size_t count, std::size_t zones)
 {
-    std::vector<HomeCandidate> candidates;
+    std::vector<OwnerCandidate> candidates;
     for (std::size_t i = 0; i < count; ++i)
         candidates.push_back({ VmName { "vm" + std::to_string(i) }, ZoneName { std::to_string(i % zones) } });
     return candidates;
@@ -26,9 +26,9 @@
         checkProperty("zones differ", [](std::uint32_t subject) {
             const auto count = *rc::gen::inRange<std::size_t>(2, 30);
             const auto zones = *rc::gen::inRange<std::size_t>(2, 5);
-            const auto homes = chooseHomes(makeCandidates(count, zones), std::to_string(subject), 2);
-            RC_ASSERT(homes.size() == 2U);
-            RC_ASSERT(homes[0].zone != homes[1].zone);
+            const auto owners = selectOwners(makeCandidates(count, zones), std::to_string(subject), 2);
+            RC_ASSERT(owners.size() == 2U);
+            RC_ASSERT(owners[0].zone != owners[1].zone);
         });
     }
 
@@ -39,11 +39,11 @@
         checkProperty("stable first home", [](std::uint32_t subject) {
             const auto count = *rc::gen::inRange<std::size_t>(2, 30);
             auto candidates = makeCandidates(count, 3);
-            const auto before = chooseHomes(candidates, std::to_string(subject), 1).front().vm;
+            const auto before = selectOwners(candidates, std::to_string(subject), 1).front().vm;
             const auto removed = *rc::gen::inRange<std::size_t>(0, count);
             const auto gone = candidates[removed].vm;
             candidates.erase(candidates.begin() + static_cast<std::ptrdiff_t>(removed));
-            const auto after = chooseHomes(candidates, std::to_string(subject), 1).front().vm;
+            const auto after = selectOwners(candidates, std::to_string(subject), 1).front().vm;
             RC_ASSERT(before == gone || after == before);
         });
     }
@@ -54,7 +54,7 @@
         const auto candidates = makeCandidates(9, 3);
         std::vector<int> counts(9);
         for (int i = 0; i < subjects; ++i) {
-            const auto home = chooseHomes(candidates, std::to_string(i), 1).front().vm;
+            const auto home = selectOwners(candidates, std::to_string(i), 1).front().vm;
             ++counts[std::stoul(home.string().substr(2))];
         }
         const auto [least, most] = std::minmax_element(counts.begin(), counts.end());
--- a/tests/membership/store_gate_test.cpp
+++ b/tests/membership/store_call_throttle_test.cpp
@@ -1,7 +1,7 @@
 #include "vm_names.h"
 
-#include <cyclamendrift/membership/reader_choice.h>
-#include <cyclamendrift/membership/store_gate.h>
+#include <cyclamendrift/membership/store_call_throttle.h>
+#include <cyclamendrift/membership/store_reader_selector.h>
 
 #include <doctest/doctest.h>
 
@@ -20,13 +20,13 @@
 /// is away.
 std::size_t triesOf(std::size_t vms, Duration outage)
 {
-    std::vector<StoreGate> gates(vms);
+    std::vector<StoreCallThrottle> gates(vms);
     std::size_t tries = 0;
     for (auto& gate : gates)
-        gate.setFleet(vms);
+        gate.setFleetSize(vms);
     for (auto now = start; now < start + outage; now += step) {
         for (auto& gate : gates)
-            tries += gate.mayTry(now) ? 1 : 0;
+            tries += gate.allowCall(now) ? 1 : 0;
     }
     return tries;
 }
@@ -46,37 +46,37 @@
     {
         // Guards against a VM that trusts readers which the store refuses, and goes on with an old
         // configuration.
-        StoreGate gate;
-        gate.setFleet(195);
-        CHECK(gate.mayTry(start));
-        CHECK_FALSE(gate.mayTry(start + 300ms));
-        CHECK(gate.mayTry(start + 2500ms));
+        StoreCallThrottle gate;
+        gate.setFleetSize(195);
+        CHECK(gate.allowCall(start));
+        CHECK_FALSE(gate.allowCall(start + 300ms));
+        CHECK(gate.allowCall(start + 2500ms));
         gate.answered(start + 2510ms);
-        CHECK(gate.mayTry(start + 2520ms));
-        CHECK(gate.mayTry(start + 4000ms));
+        CHECK(gate.allowCall(start + 2520ms));
+        CHECK(gate.allowCall(start + 4000ms));
     }
 
     TEST_CASE("the store seems away once most of those next to read are without it")
     {
-        ReaderChoice choice;
+        StoreReaderSelector choice;
         const auto vms = vmsOf(195);
         choice.setOrder(vms, 2);
         for (std::size_t index = 0; index < 2; ++index)
-            choice.passOverWithoutStore(vms[index], start + 1s);
-        CHECK_FALSE(choice.storeSeemsAway(start));
-        choice.passOverWithoutStore(vms[2], start + 1s);
-        CHECK(choice.storeSeemsAway(start));
-        CHECK_FALSE(choice.storeSeemsAway(start + 1s));
+            choice.skipWithoutStore(vms[index], start + 1s);
+        CHECK_FALSE(choice.storeSeemsUnavailable(start));
+        choice.skipWithoutStore(vms[2], start + 1s);
+        CHECK(choice.storeSeemsUnavailable(start));
+        CHECK_FALSE(choice.storeSeemsUnavailable(start + 1s));
     }
 
     TEST_CASE("readers that do not answer say nothing of the store")
     {
         // Guards against a VM that is cut off from its siblings and therefore leaves the store alone.
-        ReaderChoice choice;
+        StoreReaderSelector choice;
         const auto vms = vmsOf(195);
         choice.setOrder(vms, 2);
         for (std::size_t index = 0; index < 5; ++index)
-            choice.passOver(vms[index], 1s, start);
-        CHECK_FALSE(choice.storeSeemsAway(start));
+            choice.skipWithBackoff(vms[index], 1s, start);
+        CHECK_FALSE(choice.storeSeemsUnavailable(start));
     }
 }
--- a/tests/membership/reader_choice_test.cpp
+++ b/tests/membership/store_reader_selector_test.cpp
@@ -1,6 +1,6 @@
 #include "vm_names.h"
 
-#include <cyclamendrift/membership/reader_choice.h>
+#include <cyclamendrift/membership/store_reader_selector.h>
 
 #include <doctest/doctest.h>
 
@@ -19,10 +19,10 @@
     std::size_t reading = 0;
     const auto order = vmsOf(vms);
     for (std::size_t rank = 0; rank < vms; ++rank) {
-        ReaderChoice choice;
+        StoreReaderSelector choice;
         choice.setOrder(order, readers);
         if (firstOneFails && rank != 0)
-            choice.passOver(order[0], 1s, now);
+            choice.skipWithBackoff(order[0], 1s, now);
         reading += choice.readerFor(order[rank], rank, now) ? 0 : 1;
     }
     return reading;
@@ -35,7 +35,7 @@
     TEST_CASE("the first VMs of the order read, and the others spread over them")
     {
         CHECK(readingThemselves(81, 2, false) == 2);
-        ReaderChoice choice;
+        StoreReaderSelector choice;
         choice.setOrder(vmsOf(81), 2);
         const Instant now { 100s };
         CHECK(choice.readerFor(VmName { "vm-40" }, 40, now) == VmName { "vm-0" });
@@ -53,22 +53,22 @@
 
     TEST_CASE("the readers and those that would take their place vouch for the others")
     {
-        ReaderChoice choice;
+        StoreReaderSelector choice;
         choice.setOrder(vmsOf(81), 2);
-        CHECK(choice.isNextToRead(VmName { "vm-0" }, Instant { 100s }));
-        CHECK(choice.isNextToRead(VmName { "vm-4" }, Instant { 100s }));
-        CHECK_FALSE(choice.isNextToRead(VmName { "vm-5" }, Instant { 100s }));
+        CHECK(choice.isReaderOrStandby(VmName { "vm-0" }, Instant { 100s }));
+        CHECK(choice.isReaderOrStandby(VmName { "vm-4" }, Instant { 100s }));
+        CHECK_FALSE(choice.isReaderOrStandby(VmName { "vm-5" }, Instant { 100s }));
         choice.setOrder(vmsOf(2), 1);
-        CHECK(choice.isNextToRead(VmName { "vm-1" }, Instant { 100s }));
-        CHECK_FALSE(choice.isNextToRead(VmName { "vm-2" }, Instant { 100s }));
+        CHECK(choice.isReaderOrStandby(VmName { "vm-1" }, Instant { 100s }));
+        CHECK_FALSE(choice.isReaderOrStandby(VmName { "vm-2" }, Instant { 100s }));
     }
 
     TEST_CASE("a reader that was passed over is asked again after its pause")
     {
-        ReaderChoice choice;
+        StoreReaderSelector choice;
         choice.setOrder(vmsOf(6), 1);
         const Instant now { 100s };
-        choice.passOver(VmName { "vm-0" }, 1s, now);
+        choice.skipWithBackoff(VmName { "vm-0" }, 1s, now);
         CHECK(choice.readerFor(VmName { "vm-5" }, 5, now) == VmName { "vm-1" });
         CHECK_FALSE(choice.readerFor(VmName { "vm-1" }, 1, now));
         CHECK(choice.readerFor(VmName { "vm-5" }, 5, now + 1s) == VmName { "vm-0" });
@@ -77,19 +77,19 @@
     TEST_CASE("a reader behind a partition is asked ever more seldom until it answers")
     {
         // Guards against a time limit that half of the fleet waits out every second while a partition lasts.
-        ReaderChoice choice;
+        StoreReaderSelector choice;
         choice.setOrder(vmsOf(6), 1);
         const VmName self { "vm-5" };
         const VmName first { "vm-0" };
         const VmName second { "vm-1" };
         const Instant now { 100s };
-        choice.passOver(first, 1s, now);
+        choice.skipWithBackoff(first, 1s, now);
         CHECK(choice.readerFor(self, 5, now + 1s) == first);
-        choice.passOver(first, 1s, now + 1s);
+        choice.skipWithBackoff(first, 1s, now + 1s);
         CHECK(choice.readerFor(self, 5, now + 2900ms) == second);
         CHECK(choice.readerFor(self, 5, now + 3s) == first);
-        choice.hasRead(first);
-        choice.passOver(first, 1s, now + 3s);
+        choice.recordStoreRead(first);
+        choice.skipWithBackoff(first, 1s, now + 3s);
         CHECK(choice.readerFor(self, 5, now + 4s) == first);
     }
 
@@ -97,26 +97,26 @@
     {
         // Guards against a fleet that takes VMs which do not answer for a store that may be there, and tries
         // it with every VM.
-        ReaderChoice choice;
+        StoreReaderSelector choice;
         choice.setOrder(vmsOf(195), 2);
         const Instant now { 100s };
         for (const auto* vm : { "vm-0", "vm-1", "vm-2", "vm-3" })
-            choice.passOver(VmName { vm }, 1s, now);
-        CHECK(choice.isNextToRead(VmName { "vm-8" }, now));
-        CHECK_FALSE(choice.isNextToRead(VmName { "vm-9" }, now));
-        CHECK(choice.nextToAsk(VmName { "vm-100" }, 0, now) == VmName { "vm-4" });
-        CHECK(choice.nextToAsk(VmName { "vm-4" }, 0, now) == VmName { "vm-5" });
+            choice.skipWithBackoff(VmName { vm }, 1s, now);
+        CHECK(choice.isReaderOrStandby(VmName { "vm-8" }, now));
+        CHECK_FALSE(choice.isReaderOrStandby(VmName { "vm-9" }, now));
+        CHECK(choice.candidateToAsk(VmName { "vm-100" }, 0, now) == VmName { "vm-4" });
+        CHECK(choice.candidateToAsk(VmName { "vm-4" }, 0, now) == VmName { "vm-5" });
         for (const auto* vm : { "vm-4", "vm-5", "vm-6" })
-            choice.passOverWithoutStore(VmName { vm }, now + 1s);
-        CHECK(choice.storeSeemsAway(now));
+            choice.skipWithoutStore(VmName { vm }, now + 1s);
+        CHECK(choice.storeSeemsUnavailable(now));
     }
 
     TEST_CASE("a VM that can ask nobody reads for itself")
     {
-        ReaderChoice choice;
+        StoreReaderSelector choice;
         CHECK_FALSE(choice.readerFor(VmName { "vm-0" }, 0, Instant { 100s }));
         choice.setOrder(vmsOf(2), 1);
-        choice.passOver(VmName { "vm-0" }, 1s, Instant { 100s });
+        choice.skipWithBackoff(VmName { "vm-0" }, 1s, Instant { 100s });
         CHECK_FALSE(choice.readerFor(VmName { "vm-1" }, 1, Instant { 100s }));
     }
 }
--- a/tests/pooling/group_homes_test.cpp
+++ b/tests/pooling/group_homes_test.cpp
@@ -13,10 +13,10 @@
 const ServiceName service { "register" };
 constexpr std::uint32_t cap = 74;
 
-std::map<VmName, VmStrength> fleetOf(std::size_t vms)
+std::map<VmName, VmCapacity> fleetOf(std::size_t vms)
 {
     constexpr std::size_t strong = 6;
-    std::map<VmName, VmStrength> listed;
+    std::map<VmName, VmCapacity> listed;
     for (std::size_t index = 0; index < vms; ++index)
         listed[VmName { "vm-" + std::to_string(index) }].cores = index < strong ? 0.5 : 0.12;
     return listed;
@@ -94,7 +94,7 @@
     TEST_CASE("each of 195 VMs speaks to a few homes, whatever services its callers use")
     {
         // Guards against a link from every VM to most others, with the memory of both ends.
-        std::map<VmName, VmStrength> listed;
+        std::map<VmName, VmCapacity> listed;
         for (int index = 0; index < 195; ++index)
             listed[VmName { "vm-" + std::to_string(index) }].cores = index < 15 ? 0.5 : 0.12;
         GroupHomes homes { VmName { "vm-100" }, listed };
@@ -108,7 +108,7 @@
 
     TEST_CASE("VMs alike share the work of homes among a quarter of them")
     {
-        std::map<VmName, VmStrength> listed;
+        std::map<VmName, VmCapacity> listed;
         for (int index = 0; index < 200; ++index)
             listed[VmName { "vm-" + std::to_string(index) }].cores = 0.25;
         GroupHomes homes { VmName { "vm-100" }, listed };
--- a/tests/pooling/pool_world.cpp
+++ b/tests/pooling/pool_world.cpp
@@ -85,7 +85,7 @@
     if (this->entry) {
         // The home is the only VM on the list, so that it is the home of everything.
         const auto homes = std::make_shared<GroupHomes>(
-            VmName { "entry" }, std::map<VmName, VmStrength> { { VmName { "home" }, {} } });
+            VmName { "entry" }, std::map<VmName, VmCapacity> { { VmName { "home" }, {} } });
         this->entry->setPlace({ .vms = options.vms, .rank = 0, .homes = homes }, this->now);
     }
     this->publishDirectory();
