--- a/include/cyclamendrift/limits/donor_selector.h
+++ b/include/cyclamendrift/limits/donor_selector.h
@@ -31,14 +31,17 @@
     /// A VM gave less than it was asked for.
     void recordShortfall(const TeamName& team, const VmName& vm, Instant now);
     /// A VM did not answer, whatever the team.
-    void recordNoAnswer(const VmName& vm, Instant now) { this->silent.add(vm, now + silentPause); }
+    void recordNoAnswer(const VmName& vm, Instant now)
+    {
+        this->unresponsiveDonors.add(vm, now + noAnswerPause);
+    }
 
 private:
     /// A question to a VM that does not answer costs the operation that waits half of its time.
-    static constexpr Duration silentPause = std::chrono::milliseconds { 300 };
+    static constexpr Duration noAnswerPause = std::chrono::milliseconds { 300 };
 
-    PassedOver<VmName> silent;
-    PassedOver<std::pair<TeamName, VmName>> passedOver;
+    PassedOver<VmName> unresponsiveDonors;
+    PassedOver<std::pair<TeamName, VmName>> skippedDonors;
 };
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/limits/limit_client.h
+++ b/include/cyclamendrift/limits/limit_client.h
@@ -119,8 +119,8 @@
     struct Shard {
         ShardRef place;
         /// What was asked for and not answered yet.
-        std::optional<Tokens> asked;
-        Instant askFrom;
+        std::optional<Tokens> requested;
+        Instant requestAllowedAt;
         bool failed = false;
         std::vector<Settlement> settlements;
     };
@@ -128,8 +128,8 @@
     struct Batch {
         ShardRef shard;
         std::uint64_t grant = 0;
-        Tokens left;
-        Instant spendUntil;
+        Tokens remaining;
+        Instant expiresAt;
     };
 
     struct Waiter {
@@ -141,11 +141,11 @@
     [[nodiscard]] Shard* find(const ShardRef& place);
     [[nodiscard]] bool spendOne(Instant now);
     void settle(const Batch& batch);
-    void dropBatches(Instant now);
-    void noteDemand(Instant now);
-    [[nodiscard]] Tokens target(Instant now) const;
-    [[nodiscard]] Tokens deficit(Instant now) const;
-    [[nodiscard]] Instant nextChance() const;
+    void removeExpiredBatches(Instant now);
+    void recordDemand(Instant now);
+    [[nodiscard]] Tokens targetTokens(Instant now) const;
+    [[nodiscard]] Tokens missingTokens(Instant now) const;
+    [[nodiscard]] Instant earliestRequestTime() const;
     [[nodiscard]] bool isIdle(Instant now) const noexcept;
 
     Options options;
--- a/include/cyclamendrift/limits/limit_holders.h
+++ b/include/cyclamendrift/limits/limit_holders.h
@@ -41,7 +41,7 @@
 private:
     std::map<VmName, VmCapacity> listed;
     /// Those among which the holders are chosen.
-    std::vector<VmName> strongest;
+    std::vector<VmName> holderCandidates;
 };
 
 /// The VMs by strength, the strongest first, those alike by name; the same on every VM.
--- a/include/cyclamendrift/limits/limit_shard_home.h
+++ b/include/cyclamendrift/limits/limit_shard_home.h
@@ -65,7 +65,7 @@
     [[nodiscard]] Tokens level(Instant now);
 
 private:
-    struct Lapse {
+    struct Expiry {
         std::uint64_t id = 0;
         Instant at;
     };
@@ -79,7 +79,7 @@
     Instant refilledAt;
     std::uint64_t lastGrant = 0;
     std::unordered_map<std::uint64_t, Tokens> grants;
-    std::deque<Lapse> lapses;
+    std::deque<Expiry> expiries;
 };
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/limits/limit_shares.h
+++ b/include/cyclamendrift/limits/limit_shares.h
@@ -40,23 +40,23 @@
     [[nodiscard]] std::map<TeamName, TeamShare::Rule> current() const;
 
 private:
-    struct Part {
+    struct DatedRule {
         Instant since;
         TeamShare::Rule rule;
     };
 
-    void forgetAllBut(const std::map<TeamName, TeamLimit>& limits);
-    void take(const TeamName& team, const TeamShare::Rule& rule, Instant now);
+    void removeOtherTeams(const std::map<TeamName, TeamLimit>& limits);
+    void appendRule(const TeamName& team, const TeamShare::Rule& rule, Instant now);
 
     /// What was worked out lately, oldest first; the least of them counts.
-    std::map<TeamName, std::deque<Part>> parts;
+    std::map<TeamName, std::deque<DatedRule>> histories;
 };
 
 /// Measures what a VM is asked for, as a decaying mean over a few seconds.
 class DemandMeter {
 public:
     /// Takes in what was asked since the last call.
-    void note(const std::map<TeamName, std::uint64_t>& asked, Instant now);
+    void note(const std::map<TeamName, std::uint64_t>& requested, Instant now);
 
     /// Goes on from what an earlier process of this VM had measured.
     void begin(const DemandByTeam& measured) { this->perSecond = measured; }
@@ -64,11 +64,11 @@
     [[nodiscard]] const DemandByTeam& rates() const noexcept { return this->perSecond; }
 
     /// True when what was told last differs enough that others should know.
-    [[nodiscard]] static bool differsSignificantly(const DemandByTeam& told, const DemandByTeam& now);
+    [[nodiscard]] static bool differsSignificantly(const DemandByTeam& reported, const DemandByTeam& now);
 
 private:
     DemandByTeam perSecond;
-    Instant notedAt;
+    Instant recordedAt;
     bool started = false;
 };
 
--- a/include/cyclamendrift/membership/membership_view.h
+++ b/include/cyclamendrift/membership/membership_view.h
@@ -112,7 +112,7 @@
     [[nodiscard]] bool linkBroken(const VmName& vm) const;
 
     /// Raised whenever the candidates, their addresses or the links to them change.
-    [[nodiscard]] std::uint64_t version() const noexcept { return this->changes; }
+    [[nodiscard]] std::uint64_t version() const noexcept { return this->currentVersion; }
 
 private:
     struct Entry {
@@ -123,24 +123,24 @@
         std::optional<Instant> suspectedAt;
     };
 
-    void takeListed(const ListedVm& line);
-    void absorb(const MemberRecord& record, Instant now);
-    void refute(const MemberRecord& claim);
+    void applyListed(const ListedVm& listedVm);
+    void applyUpdate(const MemberRecord& record, Instant now);
+    void refute(const MemberRecord& update);
     void setState(Entry& entry, MemberState state, Instant now);
-    void spread(const VmName& vm);
+    void disseminate(const VmName& vm);
     [[nodiscard]] bool isCandidate(const Entry& entry) const noexcept;
-    [[nodiscard]] std::size_t sendsPerRumour() const noexcept;
+    [[nodiscard]] std::size_t sendsPerUpdate() const noexcept;
 
     Options options;
     RandomSource random;
     std::map<VmName, Entry> entries;
     /// VMs that there is news of, those to be told of next first.
     std::deque<VmName> gossipUpdates;
-    std::map<VmName, std::size_t> sendsLeft;
+    std::map<VmName, std::size_t> remainingSends;
     std::vector<VmName> probeOrder;
     std::vector<VmName> suspects;
     std::optional<Instant> lastTick;
-    std::uint64_t changes = 1;
+    std::uint64_t currentVersion = 1;
 };
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/membership/owner_cache.h
+++ b/include/cyclamendrift/membership/owner_cache.h
@@ -21,15 +21,15 @@
     void setCandidates(std::vector<OwnerCandidate> next);
 
     /// The first `count` homes of a subject, best first; always asked with the same count for one subject.
-    [[nodiscard]] std::vector<OwnerCandidate> owners(const std::string& subject, std::size_t count);
+    [[nodiscard]] std::vector<OwnerCandidate> owners(const std::string& key, std::size_t count);
 
 private:
-    [[nodiscard]] static bool mayChange(const std::string& subject, std::span<const OwnerCandidate> owners,
+    [[nodiscard]] static bool mayChangeOwners(const std::string& key, std::span<const OwnerCandidate> owners,
         std::span<const OwnerCandidate> added, std::span<const OwnerCandidate> removed);
 
     std::mutex mutex;
     std::vector<OwnerCandidate> candidates;
-    std::unordered_map<std::string, std::vector<OwnerCandidate>> known;
+    std::unordered_map<std::string, std::vector<OwnerCandidate>> cachedOwners;
 };
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/membership/store_call_throttle.h
+++ b/include/cyclamendrift/membership/store_call_throttle.h
@@ -31,7 +31,7 @@
 private:
     std::size_t vms = 1;
     Instant answeredAt = Instant::min();
-    Instant nextTry = Instant::min();
+    Instant nextCallAt = Instant::min();
 };
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/membership/store_reader_selector.h
+++ b/include/cyclamendrift/membership/store_reader_selector.h
@@ -21,7 +21,7 @@
 class StoreReaderSelector {
 public:
     /// Takes the order of all VMs in, and how many of them read.
-    void setOrder(std::vector<VmName> vms, std::size_t wanted);
+    void setOrder(std::vector<VmName> vms, std::size_t count);
 
     /// The VM to ask; empty when this VM is to read the store itself. `rank` spreads the VMs over readers.
     [[nodiscard]] std::optional<VmName> readerFor(const VmName& self, std::size_t rank, Instant now) const;
@@ -37,7 +37,7 @@
     /// This VM did not answer; others take its place for `pause`, and longer each time that it happens again.
     void skipWithBackoff(const VmName& reader, Duration pause, Instant now);
     /// This VM answered, but with readings that are too old; others take its place until then.
-    void skipUntil(const VmName& reader, Instant until) { this->silent.add(reader, until); }
+    void skipUntil(const VmName& reader, Instant until) { this->skippedReaders.add(reader, until); }
     /// This VM answered that the store has not answered it lately; others take its place until then.
     void skipWithoutStore(const VmName& reader, Instant until) { this->withoutStore.add(reader, until); }
     /// This VM has read the store.
@@ -48,12 +48,12 @@
     [[nodiscard]] bool storeSeemsUnavailable(Instant now) const;
 
 private:
-    [[nodiscard]] std::vector<VmName> nextToRead(Instant now) const;
+    [[nodiscard]] std::vector<VmName> readersAndStandbys(Instant now) const;
 
     std::vector<VmName> order;
-    std::size_t readers = 1;
-    PassedOver<VmName> silent;
-    std::map<VmName, int> silences;
+    std::size_t readerCount = 1;
+    PassedOver<VmName> skippedReaders;
+    std::map<VmName, int> skipCounts;
     PassedOver<VmName> withoutStore;
 };
 
--- a/src/limits/donor_selector.cpp
+++ b/src/limits/donor_selector.cpp
@@ -26,18 +26,18 @@
 std::vector<VmName> DonorSelector::select(
     const TeamName& team, const std::vector<VmName>& candidates, std::size_t count, Instant now) const
 {
-    std::vector<VmName> chosen;
+    std::vector<VmName> selected;
     for (const auto& vm : candidates) {
-        const bool spent = this->passedOver.contains({ team, vm }, now);
-        if (chosen.size() < count && !spent && !this->silent.contains(vm, now))
-            chosen.push_back(vm);
+        const bool isSkipped = this->skippedDonors.contains({ team, vm }, now);
+        if (selected.size() < count && !isSkipped && !this->unresponsiveDonors.contains(vm, now))
+            selected.push_back(vm);
     }
-    return chosen;
+    return selected;
 }
 
 void DonorSelector::recordShortfall(const TeamName& team, const VmName& vm, Instant now)
 {
-    this->passedOver.add({ team, vm }, now + shortfallPause);
+    this->skippedDonors.add({ team, vm }, now + shortfallPause);
 }
 
 } // namespace cyclamendrift
--- a/src/limits/limit_client.cpp
+++ b/src/limits/limit_client.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 /// Over this time the demand seen here is averaged.
-constexpr double demandSeconds = 0.5;
+constexpr double demandAveragingSeconds = 0.5;
 /// A proxy holds at most this part of a team's burst ahead of need, so that the rest is there for the others.
-constexpr std::int64_t burstParts = 16;
+constexpr std::int64_t prefetchBurstDivisor = 16;
 /// A grant with less time left than this is returned rather than kept.
-constexpr auto returnBefore = std::chrono::milliseconds { 200 };
+constexpr auto minRemainingLifetime = std::chrono::milliseconds { 200 };
 
-double secondsOf(Duration duration) { return std::chrono::duration<double> { duration }.count(); }
+double toSeconds(Duration duration) { return std::chrono::duration<double> { duration }.count(); }
 
 } // namespace
 
@@ -42,10 +42,10 @@
     return nullptr;
 }
 
-void LimitClient::noteDemand(Instant now)
+void LimitClient::recordDemand(Instant now)
 {
-    const auto elapsed = std::max(secondsOf(now - this->demandAt), 0.0);
-    this->demand = this->demand * std::exp(-elapsed / demandSeconds) + 1 / demandSeconds;
+    const auto elapsed = std::max(toSeconds(now - this->demandAt), 0.0);
+    this->demand = this->demand * std::exp(-elapsed / demandAveragingSeconds) + 1 / demandAveragingSeconds;
     this->demandAt = now;
 }
 
@@ -58,24 +58,24 @@
 {
     Tokens total;
     for (const auto& batch : this->batches) {
-        if (now < batch.spendUntil)
-            total += batch.left;
+        if (now < batch.expiresAt)
+            total += batch.remaining;
     }
     return total;
 }
 
 bool LimitClient::spendOne(Instant now)
 {
-    this->dropBatches(now);
+    this->removeExpiredBatches(now);
     if (this->availableTokens(now) < oneRequest)
         return false;
     auto needed = oneRequest;
     while (needed.millionths > 0) {
         auto& batch = this->batches.front();
-        const auto taken = std::min(needed, batch.left);
-        batch.left -= taken;
+        const auto taken = std::min(needed, batch.remaining);
+        batch.remaining -= taken;
         needed -= taken;
-        if (batch.left.millionths == 0) {
+        if (batch.remaining.millionths == 0) {
             this->settle(batch);
             this->batches.pop_front();
         }
@@ -86,19 +86,19 @@
 void LimitClient::settle(const Batch& batch)
 {
     if (auto* shard = this->find(batch.shard))
-        shard->settlements.push_back({ .grant = batch.grant, .unspent = batch.left });
+        shard->settlements.push_back({ .grant = batch.grant, .unspent = batch.remaining });
 }
 
-void LimitClient::dropBatches(Instant now)
+void LimitClient::removeExpiredBatches(Instant now)
 {
     // A proxy that was paused finds grants whose time is over. The owner has counted them as spent and may
     // have granted the same tokens again; spending them now would pass the team's rate and burst.
-    std::erase_if(this->batches, [now](const Batch& batch) { return batch.spendUntil <= now; });
+    std::erase_if(this->batches, [now](const Batch& batch) { return batch.expiresAt <= now; });
 }
 
 bool LimitClient::tryAcquire(Instant now)
 {
-    this->noteDemand(now);
+    this->recordDemand(now);
     return this->waiters.empty() && this->spendOne(now);
 }
 
@@ -110,68 +110,69 @@
     return ticket;
 }
 
-Tokens LimitClient::target(Instant now) const
+Tokens LimitClient::targetTokens(Instant now) const
 {
     if (this->isIdle(now))
         return {};
-    const auto expected = this->demand * secondsOf(this->options.targetBatchTime);
+    const auto expected = this->demand * toSeconds(this->options.targetBatchTime);
     const Tokens wanted { static_cast<std::int64_t>(expected) * oneRequest.millionths };
-    const Tokens most { this->rule.burst.millionths / burstParts };
-    return std::max(std::min(wanted, most), oneRequest);
+    const Tokens maxAhead { this->rule.burst.millionths / prefetchBurstDivisor };
+    return std::max(std::min(wanted, maxAhead), oneRequest);
 }
 
-Tokens LimitClient::deficit(Instant now) const
+Tokens LimitClient::missingTokens(Instant now) const
 {
-    const auto ahead = this->target(now);
-    auto have = this->availableTokens(now);
+    const auto ahead = this->targetTokens(now);
+    auto available = this->availableTokens(now);
     for (const auto& shard : this->shards)
-        have += shard.asked.value_or(Tokens {});
-    const bool low = have + have < ahead;
-    if (this->waiters.empty() && !low)
+        available += shard.requested.value_or(Tokens {});
+    const bool belowHalf = available + available < ahead;
+    if (this->waiters.empty() && !belowHalf)
         return {};
     const Tokens waiting { static_cast<std::int64_t>(this->waiters.size()) * oneRequest.millionths };
-    return std::max(waiting + ahead - have, Tokens {});
+    return std::max(waiting + ahead - available, Tokens {});
 }
 
 bool LimitClient::hasRequests(Instant now) const
 {
-    const auto canBeAsked = [now](const Shard& shard) { return !shard.asked && shard.askFrom <= now; };
-    if (this->deficit(now).millionths > 0)
+    const auto canBeAsked
+        = [now](const Shard& shard) { return !shard.requested && shard.requestAllowedAt <= now; };
+    if (this->missingTokens(now).millionths > 0)
         return std::any_of(this->shards.begin(), this->shards.end(), canBeAsked);
     return this->isIdle(now) && !this->batches.empty();
 }
 
 std::vector<ShardRequest> LimitClient::createRequests(Instant now)
 {
-    this->dropBatches(now);
+    this->removeExpiredBatches(now);
     if (this->isIdle(now))
         return this->returnAllGrants(now);
     // Returned in good time a token goes back into the bucket; left to lapse it would be lost to the team.
     for (const auto& batch : this->batches) {
-        if (batch.spendUntil - now < returnBefore && this->waiters.empty())
+        if (batch.expiresAt - now < minRemainingLifetime && this->waiters.empty())
             this->settle(batch);
     }
     if (this->waiters.empty())
-        std::erase_if(
-            this->batches, [now](const Batch& batch) { return batch.spendUntil - now < returnBefore; });
+        std::erase_if(this->batches,
+            [now](const Batch& batch) { return batch.expiresAt - now < minRemainingLifetime; });
 
-    std::vector<Shard*> ready;
+    std::vector<Shard*> askableShards;
     for (std::size_t i = 0; i < this->shards.size(); ++i) {
         auto& shard = this->shards[(this->nextShard + i) % this->shards.size()];
-        if (!shard.asked && shard.askFrom <= now)
-            ready.push_back(&shard);
+        if (!shard.requested && shard.requestAllowedAt <= now)
+            askableShards.push_back(&shard);
     }
-    const auto missing = this->deficit(now);
-    if (ready.empty() || missing.millionths <= 0)
+    const auto missing = this->missingTokens(now);
+    if (askableShards.empty() || missing.millionths <= 0)
         return {};
     // One whole request at least from each: a single missing one is not asked for in three places.
     const auto requests = (missing.millionths + oneRequest.millionths - 1) / oneRequest.millionths;
-    const auto count = std::min<std::int64_t>(requests, static_cast<std::int64_t>(ready.size()));
+    const auto count = std::min<std::int64_t>(requests, static_cast<std::int64_t>(askableShards.size()));
     std::vector<ShardRequest> messages;
     for (std::int64_t i = 0; i < count; ++i) {
-        auto& shard = *ready[static_cast<std::size_t>(i)];
+        auto& shard = *askableShards[static_cast<std::size_t>(i)];
         const Tokens want { (requests / count + (i < requests % count ? 1 : 0)) * oneRequest.millionths };
-        shard.asked = want;
+        shard.requested = want;
         messages.push_back(
             { .shard = shard.place, .want = want, .settlements = std::exchange(shard.settlements, {}) });
     }
@@ -186,16 +187,16 @@
         // go.
         this->batches.push_back({ .shard = answer.shard,
             .grant = answer.grant.id,
-            .left = answer.grant.amount,
-            .spendUntil = answer.askedAt + grantLifetime });
+            .remaining = answer.grant.amount,
+            .expiresAt = answer.askedAt + grantLifetime });
     }
     auto* shard = this->find(answer.shard);
     if (!shard)
         return;
-    const auto want = std::exchange(shard->asked, std::nullopt).value_or(Tokens {});
+    const auto want = std::exchange(shard->requested, std::nullopt).value_or(Tokens {});
     shard->failed = false;
     if (answer.grant.amount < want)
-        shard->askFrom = now + std::max(answer.grant.retryAfter, this->options.minRetryPause);
+        shard->requestAllowedAt = now + std::max(answer.grant.retryAfter, this->options.minRetryPause);
 }
 
 void LimitClient::onFailure(const ShardRef& place, Instant now)
@@ -203,59 +204,59 @@
     auto* shard = this->find(place);
     if (!shard)
         return;
-    shard->asked.reset();
+    shard->requested.reset();
     shard->failed = true;
-    shard->askFrom = now + this->options.noAnswerPause;
+    shard->requestAllowedAt = now + this->options.noAnswerPause;
 }
 
-Instant LimitClient::nextChance() const
+Instant LimitClient::earliestRequestTime() const
 {
     auto next = Instant::max();
     for (const auto& shard : this->shards)
-        next = std::min(next, shard.askFrom);
+        next = std::min(next, shard.requestAllowedAt);
     return next;
 }
 
 std::vector<AdmissionResult> LimitClient::results(Instant now)
 {
-    std::vector<AdmissionResult> over;
+    std::vector<AdmissionResult> finished;
     while (!this->waiters.empty() && this->spendOne(now)) {
-        over.push_back({ .ticket = this->waiters.front().ticket, .admitted = true });
+        finished.push_back({ .ticket = this->waiters.front().ticket, .admitted = true });
         this->waiters.pop_front();
     }
     if (this->waiters.empty())
-        return over;
-    const bool asking = std::any_of(
-        this->shards.begin(), this->shards.end(), [](const Shard& shard) { return shard.asked.has_value(); });
+        return finished;
+    const bool isRequestPending = std::any_of(this->shards.begin(), this->shards.end(),
+        [](const Shard& shard) { return shard.requested.has_value(); });
     const bool noOwner = std::all_of(
         this->shards.begin(), this->shards.end(), [](const Shard& shard) { return shard.failed; });
     // While an answer is under way a request may still be lucky. Otherwise it is told at once when it could
     // not be served in time, with the time at which those before it will have been.
-    const auto chance = asking ? now : std::max(this->nextChance(), now);
+    const auto earliestGrantAt = isRequestPending ? now : std::max(this->earliestRequestTime(), now);
     std::int64_t place = 0;
-    std::deque<Waiter> staying;
+    std::deque<Waiter> stillWaiting;
     for (const auto& waiter : this->waiters) {
         const Tokens before { place * oneRequest.millionths };
         const bool shardsKnown = !this->shards.empty();
-        const auto served
-            = shardsKnown ? chance + timeToAccrue(this->rule.ratePerSecond, before) : Instant::max();
-        if (served < waiter.until && now < waiter.until) {
-            staying.push_back(waiter);
+        const auto servedAt
+            = shardsKnown ? earliestGrantAt + timeToAccrue(this->rule.ratePerSecond, before) : Instant::max();
+        if (servedAt < waiter.until && now < waiter.until) {
+            stillWaiting.push_back(waiter);
             ++place;
             continue;
         }
-        const auto wait = shardsKnown ? served - now : Duration { std::chrono::seconds { 1 } };
-        over.push_back({ .ticket = waiter.ticket,
+        const auto wait = shardsKnown ? servedAt - now : Duration { std::chrono::seconds { 1 } };
+        finished.push_back({ .ticket = waiter.ticket,
             .retryAfter = std::max<Duration>(wait, this->options.minRetryPause),
             .noOwner = noOwner });
     }
-    this->waiters = std::move(staying);
-    return over;
+    this->waiters = std::move(stillWaiting);
+    return finished;
 }
 
 std::vector<ShardRequest> LimitClient::returnAllGrants(Instant now)
 {
-    this->dropBatches(now);
+    this->removeExpiredBatches(now);
     for (const auto& batch : this->batches)
         this->settle(batch);
     this->batches.clear();
--- a/src/limits/limit_holders.cpp
+++ b/src/limits/limit_holders.cpp
@@ -11,14 +11,14 @@
 
 // Up to here each VM holds a part of every limit. Teams' rates are some 10 to 200 operations a second with as
 // much burst, so a part holds at least one operation, and most operations need no message.
-constexpr std::size_t mostWithParts = 12;
+constexpr std::size_t maxVmsThatAllHold = 12;
 // With four holders one that dies takes a quarter of the limit along until its record lapses; teams use some
 // six tenths of theirs.
-constexpr std::size_t holdersOfTeam = 4;
+constexpr std::size_t holdersPerTeam = 4;
 // One VM in so many may be a holder, and six at the least. It bounds the connections between VMs: each VM
 // keeps one to each of these alone.
-constexpr std::size_t vmsPerHolder = 12;
-constexpr std::size_t leastCandidates = 6;
+constexpr std::size_t vmsPerCandidate = 12;
+constexpr std::size_t minCandidates = 6;
 
 } // namespace
 
@@ -26,7 +26,7 @@
 {
     std::vector<VmName> order;
     order.reserve(listed.size());
-    for (const auto& [vm, strength] : listed)
+    for (const auto& [vm, capacity] : listed)
         order.push_back(vm);
     std::stable_sort(order.begin(), order.end(), [&listed](const VmName& left, const VmName& right) {
         return listed.at(left).cores > listed.at(right).cores;
@@ -37,18 +37,18 @@
 LimitHolders::LimitHolders(std::map<VmName, VmCapacity> listed)
     : listed(std::move(listed))
 {
-    this->strongest = rankByCores(this->listed);
-    const auto candidates = std::max(this->listed.size() / vmsPerHolder, leastCandidates);
-    this->strongest.resize(std::min(this->strongest.size(), candidates));
+    this->holderCandidates = rankByCores(this->listed);
+    const auto candidates = std::max(this->listed.size() / vmsPerCandidate, minCandidates);
+    this->holderCandidates.resize(std::min(this->holderCandidates.size(), candidates));
 }
 
-bool LimitHolders::includesAllVms() const noexcept { return this->listed.size() <= mostWithParts; }
+bool LimitHolders::includesAllVms() const noexcept { return this->listed.size() <= maxVmsThatAllHold; }
 
 std::vector<VmName> LimitHolders::holdersOf(const TeamName& team) const
 {
-    auto holders = this->strongest;
+    auto holders = this->holderCandidates;
     rankByRendezvous(holders, "limit/" + team.string());
-    holders.resize(std::min(holders.size(), holdersOfTeam));
+    holders.resize(std::min(holders.size(), holdersPerTeam));
     return holders;
 }
 
--- a/src/limits/limit_shard_home.cpp
+++ b/src/limits/limit_shard_home.cpp
@@ -23,7 +23,7 @@
     // The proxy counts the lifetime from when it asked, on a clock that may run slower than this one.
     // Counting exactly as long here would refill the bucket while the proxy still spends, and both together
     // would pass the burst.
-    this->lapses.push_back({ .id = id, .at = now + coveringDrift(grantLifetime) });
+    this->expiries.push_back({ .id = id, .at = now + coveringDrift(grantLifetime) });
 }
 
 void LimitShardHome::advance(Instant now)
@@ -37,13 +37,13 @@
         this->bucket += std::clamp(gain, Tokens {}, std::max(room, Tokens {}));
         this->refilledAt = now;
     }
-    while (!this->lapses.empty() && this->lapses.front().at <= now) {
-        const auto grant = this->grants.find(this->lapses.front().id);
+    while (!this->expiries.empty() && this->expiries.front().at <= now) {
+        const auto grant = this->grants.find(this->expiries.front().id);
         if (grant != this->grants.end()) {
             this->outstanding -= grant->second;
             this->grants.erase(grant);
         }
-        this->lapses.pop_front();
+        this->expiries.pop_front();
     }
 }
 
@@ -60,16 +60,17 @@
 LimitGrant LimitShardHome::grant(Tokens want, Instant now)
 {
     this->advance(now);
-    LimitGrant given;
-    given.amount = std::clamp(want, Tokens {}, this->bucket);
-    if (given.amount < want)
-        given.retryAfter = timeToAccrue(this->rule.ratePerSecond, std::min(want, oneRequest) - given.amount);
-    if (given.amount.millionths <= 0)
-        return given;
-    this->bucket -= given.amount;
-    this->addOutstanding(given.amount, now);
-    given.id = this->lastGrant;
-    return given;
+    LimitGrant granted;
+    granted.amount = std::clamp(want, Tokens {}, this->bucket);
+    if (granted.amount < want)
+        granted.retryAfter
+            = timeToAccrue(this->rule.ratePerSecond, std::min(want, oneRequest) - granted.amount);
+    if (granted.amount.millionths <= 0)
+        return granted;
+    this->bucket -= granted.amount;
+    this->addOutstanding(granted.amount, now);
+    granted.id = this->lastGrant;
+    return granted;
 }
 
 void LimitShardHome::settle(std::uint64_t id, Tokens unspent, Instant now)
--- a/src/limits/limit_shares.cpp
+++ b/src/limits/limit_shares.cpp
@@ -11,24 +11,24 @@
 // Besides what it was asked for, each VM counts with an even part of this fraction of the limit. Records of
 // demand come one after the other: without it the first VM to write one would have nearly the whole limit
 // until the others follow, and a VM that a team begins to ask would have nothing for its first callers.
-constexpr double evenFraction = 0.4;
+constexpr double evenSplitFraction = 0.4;
 // Half-life of the measured demand; about the time of a list's round through the store.
-constexpr double meanSeconds = 2.0;
+constexpr double demandHalfLifeSeconds = 2.0;
 // Changes of demand below this are not worth a write.
-constexpr double relativeChange = 0.35;
-constexpr double absoluteChange = 2.5;
+constexpr double minRelativeChange = 0.35;
+constexpr double minChangePerSecond = 2.5;
 
 // A part below one operation would never let anybody in. Rounding parts up to it goes beyond the limit by one
 // operation a holder at the most.
-constexpr double leastBurst = 1;
+constexpr double minBurst = 1;
 
-double valueAt(const DemandByTeam& demand, const TeamName& team)
+double rateOf(const DemandByTeam& demand, const TeamName& team)
 {
     const auto match = demand.find(team);
     return match == demand.end() ? 0 : match->second;
 }
 
-double partOf(const TeamName& team, const TeamLimit& limit, const VmName& self,
+double shareOf(const TeamName& team, const TeamLimit& limit, const VmName& self,
     const std::map<VmName, DemandByTeam>& listed)
 {
     const auto own = listed.find(self);
@@ -36,10 +36,10 @@
     const auto vms = static_cast<double>(listed.size() + (isListed ? 0 : 1));
     double total = 0;
     for (const auto& [vm, demand] : listed)
-        total += valueAt(demand, team);
-    const double even = std::max(evenFraction * limit.ratePerSecond, 1.0) / vms;
-    const double asked = isListed ? valueAt(own->second, team) : 0;
-    return (asked + even) / (total + even * vms);
+        total += rateOf(demand, team);
+    const double evenShare = std::max(evenSplitFraction * limit.ratePerSecond, 1.0) / vms;
+    const double requested = isListed ? rateOf(own->second, team) : 0;
+    return (requested + evenShare) / (total + evenShare * vms);
 }
 
 } // namespace
@@ -47,12 +47,12 @@
 void LimitShares::updateByDemand(const std::map<TeamName, TeamLimit>& limits, const VmName& self,
     const std::map<VmName, DemandByTeam>& listed, Instant now)
 {
-    this->forgetAllBut(limits);
+    this->removeOtherTeams(limits);
     for (const auto& [team, limit] : limits) {
-        const auto part = partOf(team, limit, self, listed);
-        this->take(team,
-            { .ratePerSecond = limit.ratePerSecond * part,
-                .burst = std::max(limit.burst * part, leastBurst) },
+        const auto share = shareOf(team, limit, self, listed);
+        this->appendRule(team,
+            { .ratePerSecond = limit.ratePerSecond * share,
+                .burst = std::max(limit.burst * share, minBurst) },
             now);
     }
 }
@@ -60,28 +60,28 @@
 void LimitShares::updateByHolders(
     const std::map<TeamName, TeamLimit>& limits, const VmName& self, const LimitHolders& holders, Instant now)
 {
-    this->forgetAllBut(limits);
+    this->removeOtherTeams(limits);
     for (const auto& [team, limit] : limits) {
-        const auto chosen = holders.holdersOf(team);
+        const auto teamHolders = holders.holdersOf(team);
         TeamShare::Rule rule;
-        if (std::find(chosen.begin(), chosen.end(), self) != chosen.end()) {
-            const auto count = static_cast<double>(chosen.size());
+        if (std::find(teamHolders.begin(), teamHolders.end(), self) != teamHolders.end()) {
+            const auto count = static_cast<double>(teamHolders.size());
             rule = { .ratePerSecond = limit.ratePerSecond / count,
-                .burst = std::max(limit.burst / count, leastBurst),
+                .burst = std::max(limit.burst / count, minBurst),
                 .heldForOthers = true };
         }
-        this->take(team, rule, now);
+        this->appendRule(team, rule, now);
     }
 }
 
-void LimitShares::forgetAllBut(const std::map<TeamName, TeamLimit>& limits)
+void LimitShares::removeOtherTeams(const std::map<TeamName, TeamLimit>& limits)
 {
-    std::erase_if(this->parts, [&limits](const auto& item) { return !limits.contains(item.first); });
+    std::erase_if(this->histories, [&limits](const auto& item) { return !limits.contains(item.first); });
 }
 
-void LimitShares::take(const TeamName& team, const TeamShare::Rule& rule, Instant now)
+void LimitShares::appendRule(const TeamName& team, const TeamShare::Rule& rule, Instant now)
 {
-    auto& history = this->parts[team];
+    auto& history = this->histories[team];
     history.push_back({ .since = now, .rule = rule });
     while (history.size() > 1 && history[1].since + growthDelay <= now)
         history.pop_front();
@@ -90,46 +90,47 @@
 std::map<TeamName, TeamShare::Rule> LimitShares::current() const
 {
     std::map<TeamName, TeamShare::Rule> rules;
-    for (const auto& [team, history] : this->parts) {
+    for (const auto& [team, history] : this->histories) {
         auto rule = history.back().rule;
-        for (const auto& part : history) {
-            rule.ratePerSecond = std::min(rule.ratePerSecond, part.rule.ratePerSecond);
-            rule.burst = std::min(rule.burst, part.rule.burst);
+        for (const auto& share : history) {
+            rule.ratePerSecond = std::min(rule.ratePerSecond, share.rule.ratePerSecond);
+            rule.burst = std::min(rule.burst, share.rule.burst);
         }
         rules.emplace(team, rule);
     }
     return rules;
 }
 
-void DemandMeter::note(const std::map<TeamName, std::uint64_t>& asked, Instant now)
+void DemandMeter::note(const std::map<TeamName, std::uint64_t>& requested, Instant now)
 {
     if (!this->started) {
         this->started = true;
-        this->notedAt = now;
+        this->recordedAt = now;
         return;
     }
-    const std::chrono::duration<double> elapsed = now - this->notedAt;
+    const std::chrono::duration<double> elapsed = now - this->recordedAt;
     if (elapsed.count() <= 0)
         return;
-    this->notedAt = now;
-    const double kept = std::exp2(-elapsed.count() / meanSeconds);
+    this->recordedAt = now;
+    const double decayFactor = std::exp2(-elapsed.count() / demandHalfLifeSeconds);
     for (auto& [team, rate] : this->perSecond)
-        rate *= kept;
-    for (const auto& [team, count] : asked)
-        this->perSecond[team] += (1 - kept) * static_cast<double>(count) / elapsed.count();
+        rate *= decayFactor;
+    for (const auto& [team, count] : requested)
+        this->perSecond[team] += (1 - decayFactor) * static_cast<double>(count) / elapsed.count();
 }
 
-bool DemandMeter::differsSignificantly(const DemandByTeam& told, const DemandByTeam& now)
+bool DemandMeter::differsSignificantly(const DemandByTeam& reported, const DemandByTeam& now)
 {
     std::set<TeamName> teams;
-    for (const auto& [team, rate] : told)
+    for (const auto& [team, rate] : reported)
         teams.insert(team);
     for (const auto& [team, rate] : now)
         teams.insert(team);
     return std::any_of(teams.begin(), teams.end(), [&](const TeamName& team) {
-        const auto before = valueAt(told, team);
-        const auto after = valueAt(now, team);
-        return std::abs(after - before) > std::max(absoluteChange, relativeChange * std::max(before, after));
+        const auto before = rateOf(reported, team);
+        const auto after = rateOf(now, team);
+        return std::abs(after - before)
+            > std::max(minChangePerSecond, minRelativeChange * std::max(before, after));
     });
 }
 
--- a/src/limits/team_share.cpp
+++ b/src/limits/team_share.cpp
@@ -8,7 +8,7 @@
 
 // A process that restarts must not hand out a whole burst again, as the one before it may just have done.
 // What a quarter of a second accrues lets callers in at once and stays far below the tolerance of the limit.
-constexpr double firstSeconds = 0.25;
+constexpr double initialSeconds = 0.25;
 
 } // namespace
 
@@ -17,7 +17,7 @@
     if (this->started)
         this->accrue(now);
     else
-        this->level = std::min(wanted.burst, wanted.ratePerSecond * firstSeconds);
+        this->level = std::min(wanted.burst, wanted.ratePerSecond * initialSeconds);
     this->started = true;
     this->accruedAt = now;
     this->rule = wanted;
@@ -36,8 +36,8 @@
 std::uint32_t TeamShare::give(std::uint32_t wanted, Instant now)
 {
     this->accrue(now);
-    const auto kept = this->rule.heldForOthers ? 0 : this->level / 2;
-    const auto spare = static_cast<std::uint32_t>(std::max(this->level - kept, 0.0));
+    const auto reserve = this->rule.heldForOthers ? 0 : this->level / 2;
+    const auto spare = static_cast<std::uint32_t>(std::max(this->level - reserve, 0.0));
     const auto given = std::min(wanted, spare);
     this->level -= given;
     return given;
@@ -61,11 +61,11 @@
     if (this->level >= 1)
         return {};
     // A team without any rate here should try elsewhere, and not at once.
-    constexpr std::chrono::duration<double> longest { 1.0 };
+    constexpr std::chrono::duration<double> maxPause { 1.0 };
     if (this->rule.ratePerSecond <= 0)
-        return std::chrono::duration_cast<Duration>(longest);
+        return std::chrono::duration_cast<Duration>(maxPause);
     const std::chrono::duration<double> wait { (1 - this->level) / this->rule.ratePerSecond };
-    return std::chrono::duration_cast<Duration>(std::min(wait, longest));
+    return std::chrono::duration_cast<Duration>(std::min(wait, maxPause));
 }
 
 void TeamShare::accrue(Instant now)
--- a/src/membership/membership_view.cpp
+++ b/src/membership/membership_view.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 /// A rumour is sent this many times the logarithm of the fleet's size.
-constexpr std::size_t sendsFactor = 3;
+constexpr std::size_t sendsPerSizeBit = 3;
 
-bool overrides(const MemberRecord& news, const MemberRecord& known) noexcept
+bool overrides(const MemberRecord& update, const MemberRecord& current) noexcept
 {
-    if (news.incarnation != known.incarnation)
-        return news.incarnation > known.incarnation;
-    return news.state > known.state;
+    if (update.incarnation != current.incarnation)
+        return update.incarnation > current.incarnation;
+    return update.state > current.state;
 }
 
 } // namespace
@@ -39,20 +39,20 @@
     : options(std::move(options))
     , random(this->options.randomSeed)
 {
-    this->spread(this->options.self.vm);
+    this->disseminate(this->options.self.vm);
 }
 
-std::size_t MembershipView::sendsPerRumour() const noexcept
+std::size_t MembershipView::sendsPerUpdate() const noexcept
 {
-    return sendsFactor * static_cast<std::size_t>(std::bit_width(this->entries.size() + 1));
+    return sendsPerSizeBit * static_cast<std::size_t>(std::bit_width(this->entries.size() + 1));
 }
 
-void MembershipView::spread(const VmName& vm)
+void MembershipView::disseminate(const VmName& vm)
 {
-    auto& sendsLeft = this->sendsLeft[vm];
-    if (sendsLeft == 0)
+    auto& remainingSends = this->remainingSends[vm];
+    if (remainingSends == 0)
         this->gossipUpdates.push_front(vm);
-    sendsLeft = this->sendsPerRumour();
+    remainingSends = this->sendsPerUpdate();
 }
 
 bool MembershipView::isCandidate(const Entry& entry) const noexcept
@@ -65,79 +65,80 @@
 {
     for (auto& [vm, entry] : this->entries)
         entry.listed = false;
-    for (const auto& line : listed) {
-        if (line.vm != this->options.self.vm)
-            this->takeListed(line);
+    for (const auto& listedVm : listed) {
+        if (listedVm.vm != this->options.self.vm)
+            this->applyListed(listedVm);
     }
     // The list lags: a VM that it lacks may be new, so only those that left or died are forgotten.
-    const auto forgotten = std::erase_if(this->entries, [](const auto& item) {
+    const auto removed = std::erase_if(this->entries, [](const auto& item) {
         return !item.second.listed && item.second.record.state >= MemberState::Leaving;
     });
-    if (forgotten > 0)
-        ++this->changes;
+    if (removed > 0)
+        ++this->currentVersion;
 }
 
-void MembershipView::takeListed(const ListedVm& line)
+void MembershipView::applyListed(const ListedVm& listedVm)
 {
-    auto [place, isNew] = this->entries.try_emplace(line.vm);
-    auto& entry = place->second;
+    auto [position, isNew] = this->entries.try_emplace(listedVm.vm);
+    auto& entry = position->second;
     entry.listed = true;
     if (isNew)
-        entry.record = { .vm = line.vm, .zone = line.zone };
-    if (isNew || entry.listedLeaving != line.leaving) {
-        entry.listedLeaving = line.leaving;
-        ++this->changes;
+        entry.record = { .vm = listedVm.vm, .zone = listedVm.zone };
+    if (isNew || entry.listedLeaving != listedVm.leaving) {
+        entry.listedLeaving = listedVm.leaving;
+        ++this->currentVersion;
     }
     // A VM that was replaced keeps its name and gets another address; until it speaks for itself the list is
     // the better source.
-    if (entry.record.incarnation != 0 || (entry.record.host == line.host && entry.record.port == line.port))
+    if (entry.record.incarnation != 0
+        || (entry.record.host == listedVm.host && entry.record.port == listedVm.port))
         return;
-    entry.record.host = line.host;
-    entry.record.port = line.port;
-    ++this->changes;
+    entry.record.host = listedVm.host;
+    entry.record.port = listedVm.port;
+    ++this->currentVersion;
 }
 
-void MembershipView::onContact(const MemberRecord& sender, std::span<const MemberRecord> claims, Instant now)
+void MembershipView::onContact(const MemberRecord& sender, std::span<const MemberRecord> updates, Instant now)
 {
-    this->absorb(sender, now);
-    for (const auto& claim : claims)
-        this->absorb(claim, now);
+    this->applyUpdate(sender, now);
+    for (const auto& update : updates)
+        this->applyUpdate(update, now);
     this->setLinkWorking(sender.vm, true);
 }
 
-void MembershipView::absorb(const MemberRecord& record, Instant now)
+void MembershipView::applyUpdate(const MemberRecord& record, Instant now)
 {
     if (record.vm == this->options.self.vm) {
         this->refute(record);
         return;
     }
-    auto [place, isNew] = this->entries.try_emplace(record.vm);
-    auto& entry = place->second;
+    auto [position, isNew] = this->entries.try_emplace(record.vm);
+    auto& entry = position->second;
     if (!isNew && !overrides(record, entry.record))
         return;
     if (isNew && record.state == MemberState::Dead) {
-        this->entries.erase(place);
+        this->entries.erase(position);
         return;
     }
     const auto oldState = entry.record.state;
     if (isNew || entry.record.incarnation != record.incarnation)
-        ++this->changes;
+        ++this->currentVersion;
     entry.record = record;
     entry.record.state = oldState;
     this->setState(entry, record.state, now);
-    this->spread(record.vm);
+    this->disseminate(record.vm);
 }
 
-void MembershipView::refute(const MemberRecord& claim)
+void MembershipView::refute(const MemberRecord& update)
 {
     auto& self = this->options.self;
-    const bool aboutThisProcess = claim.process == self.process || claim.process == 0;
-    if (claim.incarnation < self.incarnation || (aboutThisProcess && claim.state <= self.state))
+    const bool aboutThisProcess = update.process == self.process || update.process == 0;
+    if (update.incarnation < self.incarnation || (aboutThisProcess && update.state <= self.state))
         return;
     // Others think ill of this VM, or remember a process that had its name before. Without an incarnation
     // above theirs it would stay evicted however well it answers.
-    self.incarnation = claim.incarnation + 1;
-    this->spread(self.vm);
+    self.incarnation = update.incarnation + 1;
+    this->disseminate(self.vm);
 }
 
 void MembershipView::setState(Entry& entry, MemberState state, Instant now)
@@ -152,7 +153,7 @@
         entry.suspectedAt.reset();
     }
     if (before != this->isCandidate(entry))
-        ++this->changes;
+        ++this->currentVersion;
 }
 
 void MembershipView::onUnreachable(const VmName& vm, Instant now)
@@ -163,7 +164,7 @@
     // A broken link between two VMs looks like a death to both. Only the time in which the VM may refute,
     // over whatever links it still has, tells one from the other.
     this->setState(match->second, MemberState::Suspect, now);
-    this->spread(vm);
+    this->disseminate(vm);
 }
 
 void MembershipView::setLinkWorking(const VmName& vm, bool works)
@@ -172,7 +173,7 @@
     if (match == this->entries.end() || match->second.linkBroken == !works)
         return;
     match->second.linkBroken = !works;
-    ++this->changes;
+    ++this->currentVersion;
 }
 
 void MembershipView::tick(Instant now)
@@ -196,7 +197,7 @@
             continue;
         }
         this->setState(match->second, MemberState::Dead, now);
-        this->spread(vm);
+        this->disseminate(vm);
     }
     this->suspects = std::move(remaining);
 }
@@ -205,16 +206,16 @@
 {
     this->options.self.state = MemberState::Leaving;
     ++this->options.self.incarnation;
-    ++this->changes;
-    this->spread(this->options.self.vm);
+    ++this->currentVersion;
+    this->disseminate(this->options.self.vm);
 }
 
 std::vector<MemberRecord> MembershipView::selectProbeTargets()
 {
-    std::vector<MemberRecord> picked;
-    const auto most = std::min(this->options.fanout, this->entries.size());
+    std::vector<MemberRecord> targets;
+    const auto limit = std::min(this->options.fanout, this->entries.size());
     // Every member is probed once before any is probed again, so that no death stays unnoticed by bad luck.
-    while (picked.size() < most) {
+    while (targets.size() < limit) {
         if (this->probeOrder.empty()) {
             for (const auto& [vm, entry] : this->entries)
                 this->probeOrder.push_back(vm);
@@ -223,46 +224,46 @@
         const auto match = this->entries.find(this->probeOrder.back());
         this->probeOrder.pop_back();
         if (match != this->entries.end())
-            picked.push_back(match->second.record);
+            targets.push_back(match->second.record);
     }
-    return picked;
+    return targets;
 }
 
 std::vector<MemberRecord> MembershipView::selectIndirectProbers(const VmName& target, std::size_t count)
 {
-    std::vector<const MemberRecord*> possible;
+    std::vector<const MemberRecord*> reachable;
     for (const auto& [vm, entry] : this->entries) {
         if (vm != target && entry.record.state != MemberState::Dead && !entry.linkBroken)
-            possible.push_back(&entry.record);
+            reachable.push_back(&entry.record);
     }
-    std::vector<const MemberRecord*> chosen;
-    std::sample(possible.begin(), possible.end(), std::back_inserter(chosen), count, this->random);
-    std::vector<MemberRecord> helpers;
-    helpers.reserve(chosen.size());
-    for (const auto* record : chosen)
-        helpers.push_back(*record);
-    return helpers;
+    std::vector<const MemberRecord*> sampled;
+    std::sample(reachable.begin(), reachable.end(), std::back_inserter(sampled), count, this->random);
+    std::vector<MemberRecord> probers;
+    probers.reserve(sampled.size());
+    for (const auto* record : sampled)
+        probers.push_back(*record);
+    return probers;
 }
 
 std::vector<MemberRecord> MembershipView::nextGossipUpdates(const VmName& receiver)
 {
-    std::vector<MemberRecord> taken;
-    const auto about = this->entries.find(receiver);
-    if (about != this->entries.end() && about->second.record.state != MemberState::Live)
-        taken.push_back(about->second.record);
-    const auto most = std::min(this->options.gossipUpdatesPerMessage, this->gossipUpdates.size());
-    for (std::size_t i = 0; i < most; ++i) {
+    std::vector<MemberRecord> selected;
+    const auto receiverEntry = this->entries.find(receiver);
+    if (receiverEntry != this->entries.end() && receiverEntry->second.record.state != MemberState::Live)
+        selected.push_back(receiverEntry->second.record);
+    const auto limit = std::min(this->options.gossipUpdatesPerMessage, this->gossipUpdates.size());
+    for (std::size_t i = 0; i < limit; ++i) {
         auto vm = std::move(this->gossipUpdates.front());
         this->gossipUpdates.pop_front();
         if (const auto record = this->find(vm); record && vm != receiver)
-            taken.push_back(*record);
-        const auto sends = this->sendsLeft.find(vm);
+            selected.push_back(*record);
+        const auto sends = this->remainingSends.find(vm);
         if (--sends->second > 0)
             this->gossipUpdates.push_back(std::move(vm));
         else
-            this->sendsLeft.erase(sends);
+            this->remainingSends.erase(sends);
     }
-    return taken;
+    return selected;
 }
 
 std::optional<MemberRecord> MembershipView::find(const VmName& vm) const
@@ -288,14 +289,14 @@
 
 std::vector<OwnerCandidate> MembershipView::candidates() const
 {
-    std::vector<OwnerCandidate> able;
+    std::vector<OwnerCandidate> eligible;
     if (this->options.self.state != MemberState::Leaving)
-        able.push_back({ .vm = this->options.self.vm, .zone = this->options.self.zone });
+        eligible.push_back({ .vm = this->options.self.vm, .zone = this->options.self.zone });
     for (const auto& [vm, entry] : this->entries) {
         if (this->isCandidate(entry))
-            able.push_back({ .vm = vm, .zone = entry.record.zone });
+            eligible.push_back({ .vm = vm, .zone = entry.record.zone });
     }
-    return able;
+    return eligible;
 }
 
 bool MembershipView::linkBroken(const VmName& vm) const
--- a/src/membership/missing_vms.cpp
+++ b/src/membership/missing_vms.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 // Records are back about a second after the store: a back-off, a new lease and a write.
-constexpr Duration keptFor = std::chrono::milliseconds { 3000 };
+constexpr Duration retentionTime = std::chrono::milliseconds { 3000 };
 // More than this part of the VMs, and more than so many of them, do not leave between two readings.
-constexpr std::size_t partThatLeaves = 5;
-constexpr std::size_t leavingAtOnce = 3;
+constexpr std::size_t leavingDivisor = 5;
+constexpr std::size_t maxLeavingAtOnce = 3;
 
 } // namespace
 
@@ -25,23 +25,23 @@
     }
     std::erase_if(this->missingSince, [&listed](const auto& item) { return listed.contains(item.first); });
     // A VM that stayed earlier is among the known ones still.
-    const auto fresh = static_cast<std::size_t>(std::count_if(missing.begin(), missing.end(),
+    const auto newlyMissing = static_cast<std::size_t>(std::count_if(missing.begin(), missing.end(),
         [this](const VmName& vm) { return !this->missingSince.contains(vm); }));
-    if (fresh > std::max(known.size() / partThatLeaves, leavingAtOnce)) {
+    if (newlyMissing > std::max(known.size() / leavingDivisor, maxLeavingAtOnce)) {
         for (const auto& vm : missing)
             this->missingSince.try_emplace(vm, now);
     }
-    std::vector<VmName> kept;
+    std::vector<VmName> retained;
     for (const auto& vm : missing) {
         const auto since = this->missingSince.find(vm);
         if (since == this->missingSince.end())
             continue;
-        if (now < since->second + keptFor)
-            kept.push_back(vm);
+        if (now < since->second + retentionTime)
+            retained.push_back(vm);
         else
             this->missingSince.erase(since);
     }
-    return kept;
+    return retained;
 }
 
 } // namespace cyclamendrift
--- a/src/membership/owner_cache.cpp
+++ b/src/membership/owner_cache.cpp
@@ -8,35 +8,35 @@
 
 namespace {
 
-bool comesBefore(const OwnerCandidate& left, const OwnerCandidate& right)
+bool precedes(const OwnerCandidate& left, const OwnerCandidate& right)
 {
     return std::pair { left.vm, left.zone } < std::pair { right.vm, right.zone };
 }
 
-std::vector<OwnerCandidate> without(
+std::vector<OwnerCandidate> exclude(
     std::span<const OwnerCandidate> all, std::span<const OwnerCandidate> excluded)
 {
     std::vector<OwnerCandidate> rest;
     std::set_difference(
-        all.begin(), all.end(), excluded.begin(), excluded.end(), std::back_inserter(rest), comesBefore);
+        all.begin(), all.end(), excluded.begin(), excluded.end(), std::back_inserter(rest), precedes);
     return rest;
 }
 
 } // namespace
 
-bool OwnerCache::mayChange(const std::string& subject, std::span<const OwnerCandidate> owners,
+bool OwnerCache::mayChangeOwners(const std::string& key, std::span<const OwnerCandidate> owners,
     std::span<const OwnerCandidate> added, std::span<const OwnerCandidate> removed)
 {
-    for (const auto& home : owners) {
-        const auto isHome = [&home](const OwnerCandidate& gone) { return gone.vm == home.vm; };
-        if (std::any_of(removed.begin(), removed.end(), isHome))
+    for (const auto& owner : owners) {
+        const auto isOwner = [&owner](const OwnerCandidate& removedVm) { return removedVm.vm == owner.vm; };
+        if (std::any_of(removed.begin(), removed.end(), isOwner))
             return true;
     }
     // A newcomer matters when it outranks any of the homes.
-    for (const auto& home : owners) {
-        const auto weight = rendezvousWeight(home.vm, subject);
-        for (const auto& newcomer : added) {
-            if (rendezvousWeight(newcomer.vm, subject) >= weight)
+    for (const auto& owner : owners) {
+        const auto weight = rendezvousWeight(owner.vm, key);
+        for (const auto& addedVm : added) {
+            if (rendezvousWeight(addedVm.vm, key) >= weight)
                 return true;
         }
     }
@@ -45,27 +45,27 @@
 
 void OwnerCache::setCandidates(std::vector<OwnerCandidate> next)
 {
-    std::sort(next.begin(), next.end(), comesBefore);
+    std::sort(next.begin(), next.end(), precedes);
     const std::scoped_lock lock { this->mutex };
-    const auto added = without(next, this->candidates);
-    const auto removed = without(this->candidates, next);
+    const auto added = exclude(next, this->candidates);
+    const auto removed = exclude(this->candidates, next);
     // With few VMs a newcomer may be the first of another availability zone, which the weights do not show.
-    constexpr std::size_t fewVms = 64;
-    if (next.size() < fewVms || this->candidates.size() < fewVms)
-        this->known.clear();
+    constexpr std::size_t smallFleetSize = 64;
+    if (next.size() < smallFleetSize || this->candidates.size() < smallFleetSize)
+        this->cachedOwners.clear();
     else
-        std::erase_if(this->known,
-            [&](const auto& entry) { return mayChange(entry.first, entry.second, added, removed); });
+        std::erase_if(this->cachedOwners,
+            [&](const auto& entry) { return mayChangeOwners(entry.first, entry.second, added, removed); });
     this->candidates = std::move(next);
 }
 
-std::vector<OwnerCandidate> OwnerCache::owners(const std::string& subject, std::size_t count)
+std::vector<OwnerCandidate> OwnerCache::owners(const std::string& key, std::size_t count)
 {
     const std::scoped_lock lock { this->mutex };
-    const auto match = this->known.find(subject);
-    if (match != this->known.end())
+    const auto match = this->cachedOwners.find(key);
+    if (match != this->cachedOwners.end())
         return match->second;
-    return this->known.emplace(subject, selectOwners(this->candidates, subject, count)).first->second;
+    return this->cachedOwners.emplace(key, selectOwners(this->candidates, key, count)).first->second;
 }
 
 } // namespace cyclamendrift
--- a/src/membership/store_call_throttle.cpp
+++ b/src/membership/store_call_throttle.cpp
@@ -7,22 +7,22 @@
 namespace {
 
 // Tries of the whole fleet in a second, and the pause of one VM that follows from it.
-constexpr double fleetTriesPerSecond = 80;
-constexpr Duration shortestPause = std::chrono::milliseconds { 400 };
-constexpr Duration longestPause = std::chrono::milliseconds { 2500 };
+constexpr double maxFleetCallsPerSecond = 80;
+constexpr Duration minPause = std::chrono::milliseconds { 400 };
+constexpr Duration maxPause = std::chrono::milliseconds { 2500 };
 // A VM that the store has answered within this time knows better than its siblings.
-constexpr Duration answersLately = std::chrono::milliseconds { 2000 };
+constexpr Duration recentAnswerPeriod = std::chrono::milliseconds { 2000 };
 
 } // namespace
 
 bool StoreCallThrottle::allowCall(Instant now)
 {
-    if (this->answeredAt != Instant::min() && now < this->answeredAt + answersLately)
+    if (this->answeredAt != Instant::min() && now < this->answeredAt + recentAnswerPeriod)
         return true;
-    if (now < this->nextTry)
+    if (now < this->nextCallAt)
         return false;
-    const std::chrono::duration<double> fair { static_cast<double>(this->vms) / fleetTriesPerSecond };
-    this->nextTry = now + std::clamp(std::chrono::duration_cast<Duration>(fair), shortestPause, longestPause);
+    const std::chrono::duration<double> fairPause { static_cast<double>(this->vms) / maxFleetCallsPerSecond };
+    this->nextCallAt = now + std::clamp(std::chrono::duration_cast<Duration>(fairPause), minPause, maxPause);
     return true;
 }
 
--- a/src/membership/store_reader_selector.cpp
+++ b/src/membership/store_reader_selector.cpp
@@ -9,39 +9,39 @@
 namespace {
 
 // A question to a VM behind a partition costs its whole time limit.
-constexpr int mostDoublings = 3;
+constexpr int maxPauseDoublings = 3;
 
 } // namespace
 
-void StoreReaderSelector::setOrder(std::vector<VmName> vms, std::size_t wanted)
+void StoreReaderSelector::setOrder(std::vector<VmName> vms, std::size_t count)
 {
     this->order = std::move(vms);
-    this->readers = wanted;
+    this->readerCount = count;
 }
 
 std::optional<VmName> StoreReaderSelector::readerFor(const VmName& self, std::size_t rank, Instant now) const
 {
-    std::vector<VmName> reading;
+    std::vector<VmName> activeReaders;
     for (const auto& vm : this->order) {
-        if (reading.size() == this->readers)
+        if (activeReaders.size() == this->readerCount)
             break;
         if (vm == self)
             return std::nullopt;
-        if (!this->silent.contains(vm, now) && !this->withoutStore.contains(vm, now))
-            reading.push_back(vm);
+        if (!this->skippedReaders.contains(vm, now) && !this->withoutStore.contains(vm, now))
+            activeReaders.push_back(vm);
     }
-    if (reading.empty())
+    if (activeReaders.empty())
         return std::nullopt;
-    return reading[rank % reading.size()];
+    return activeReaders[rank % activeReaders.size()];
 }
 
-std::vector<VmName> StoreReaderSelector::nextToRead(Instant now) const
+std::vector<VmName> StoreReaderSelector::readersAndStandbys(Instant now) const
 {
     std::vector<VmName> next;
     for (const auto& vm : this->order) {
-        if (next.size() == 2 * this->readers + 1)
+        if (next.size() == 2 * this->readerCount + 1)
             break;
-        if (!this->silent.contains(vm, now))
+        if (!this->skippedReaders.contains(vm, now))
             next.push_back(vm);
     }
     return next;
@@ -49,36 +49,36 @@
 
 bool StoreReaderSelector::isReaderOrStandby(const VmName& vm, Instant now) const
 {
-    const auto next = this->nextToRead(now);
+    const auto next = this->readersAndStandbys(now);
     return std::find(next.begin(), next.end(), vm) != next.end();
 }
 
 void StoreReaderSelector::skipWithBackoff(const VmName& reader, Duration pause, Instant now)
 {
-    auto& before = this->silences[reader];
-    this->silent.add(reader, now + pause * (1 << before));
-    before = std::min(before + 1, mostDoublings);
+    auto& skips = this->skipCounts[reader];
+    this->skippedReaders.add(reader, now + pause * (1 << skips));
+    skips = std::min(skips + 1, maxPauseDoublings);
 }
 
 void StoreReaderSelector::recordStoreRead(const VmName& reader)
 {
-    this->silences.erase(reader);
+    this->skipCounts.erase(reader);
     this->withoutStore.add(reader, Instant::min());
 }
 
 std::optional<VmName> StoreReaderSelector::candidateToAsk(
     const VmName& self, std::size_t turn, Instant now) const
 {
-    auto next = this->nextToRead(now);
+    auto next = this->readersAndStandbys(now);
     std::erase(next, self);
     return next.empty() ? std::nullopt : std::optional { next[turn % next.size()] };
 }
 
 bool StoreReaderSelector::storeSeemsUnavailable(Instant now) const
 {
-    const auto without = std::count_if(this->order.begin(), this->order.end(),
+    const auto vmsWithoutStore = std::count_if(this->order.begin(), this->order.end(),
         [this, now](const VmName& vm) { return this->withoutStore.contains(vm, now); });
-    return static_cast<std::size_t>(without) > this->readers;
+    return static_cast<std::size_t>(vmsWithoutStore) > this->readerCount;
 }
 
 } // namespace cyclamendrift
--- a/tests/limits/limit_holders_test.cpp
+++ b/tests/limits/limit_holders_test.cpp
@@ -32,10 +32,10 @@
 {
     const LimitHolders holders { listed };
     std::map<VmName, TeamShare> shares;
-    for (const auto& [vm, strength] : listed) {
-        LimitShares parts;
-        parts.updateByHolders({ { team, limit } }, vm, holders, Instant { 1s });
-        shares[vm].setRule(parts.current().at(team), Instant { 1s });
+    for (const auto& [vm, capacity] : listed) {
+        LimitShares limitShares;
+        limitShares.updateByHolders({ { team, limit } }, vm, holders, Instant { 1s });
+        shares[vm].setRule(limitShares.current().at(team), Instant { 1s });
     }
     return shares;
 }
@@ -86,12 +86,12 @@
         const auto listed = fleetOf(70);
         double rate = 0;
         double burst = 0;
-        for (const auto& [vm, strength] : listed) {
-            LimitShares parts;
-            parts.updateByHolders({ { team, { .ratePerSecond = 3, .burst = 2 } } }, vm,
+        for (const auto& [vm, capacity] : listed) {
+            LimitShares limitShares;
+            limitShares.updateByHolders({ { team, { .ratePerSecond = 3, .burst = 2 } } }, vm,
                 LimitHolders { listed }, Instant { 1s });
-            rate += parts.current().at(team).ratePerSecond;
-            burst += parts.current().at(team).burst;
+            rate += limitShares.current().at(team).ratePerSecond;
+            burst += limitShares.current().at(team).burst;
         }
         CHECK(rate == doctest::Approx(3));
         CHECK(burst <= 2 + 4);
@@ -141,13 +141,13 @@
         const auto added = *std::find_if(after.begin(), after.end(), [&before](const VmName& vm) {
             return std::find(before.begin(), before.end(), vm) == before.end();
         });
-        LimitShares parts;
-        parts.updateByHolders(limits, added, LimitHolders { fleetOf(70) }, Instant { 1s });
-        parts.updateByHolders(limits, added, LimitHolders { listed }, Instant { 5s });
-        CHECK(parts.current().at(team).ratePerSecond == 0);
-        parts.updateByHolders(
+        LimitShares limitShares;
+        limitShares.updateByHolders(limits, added, LimitHolders { fleetOf(70) }, Instant { 1s });
+        limitShares.updateByHolders(limits, added, LimitHolders { listed }, Instant { 5s });
+        CHECK(limitShares.current().at(team).ratePerSecond == 0);
+        limitShares.updateByHolders(
             limits, added, LimitHolders { listed }, Instant { 5s } + LimitShares::growthDelay);
-        parts.updateByHolders(limits, added, LimitHolders { listed }, Instant { 8s });
-        CHECK(parts.current().at(team).ratePerSecond == doctest::Approx(10));
+        limitShares.updateByHolders(limits, added, LimitHolders { listed }, Instant { 8s });
+        CHECK(limitShares.current().at(team).ratePerSecond == doctest::Approx(10));
     }
 }
--- a/tests/limits/team_share_test.cpp
+++ b/tests/limits/team_share_test.cpp
@@ -33,16 +33,16 @@
     {
         const auto listed = listOf({ 60, 20, 0, 0 });
         double rate = 0;
-        std::vector<double> parts;
+        std::vector<double> shareRates;
         for (const auto& [vm, demand] : listed) {
             LimitShares shares;
             shares.updateByDemand(limits, vm, listed, Instant { 1s });
-            parts.push_back(shares.current().at(team).ratePerSecond);
-            rate += parts.back();
+            shareRates.push_back(shares.current().at(team).ratePerSecond);
+            rate += shareRates.back();
         }
         CHECK(rate == doctest::Approx(100));
-        CHECK(parts[0] > parts[1]);
-        CHECK(parts[2] > 0);
+        CHECK(shareRates[0] > shareRates[1]);
+        CHECK(shareRates[2] > 0);
     }
 
     TEST_CASE("a part that grows waits until the others have read the new list, one that shrinks does not")
--- a/tests/membership/membership_view_test.cpp
+++ b/tests/membership/membership_view_test.cpp
@@ -130,9 +130,9 @@
                     some.erase(some.begin()
                         + *rc::gen::inRange<std::ptrdiff_t>(0, static_cast<std::ptrdiff_t>(some.size())));
                 cache.setCandidates(some);
-                for (int subject = 0; subject < 30; ++subject) {
-                    const auto cached = cache.owners(std::to_string(subject), 2);
-                    const auto ranked = selectOwners(some, std::to_string(subject), 2);
+                for (int key = 0; key < 30; ++key) {
+                    const auto cached = cache.owners(std::to_string(key), 2);
+                    const auto ranked = selectOwners(some, std::to_string(key), 2);
                     RC_ASSERT(cached[0].vm == ranked[0].vm);
                     RC_ASSERT(cached[1].vm == ranked[1].vm);
                 }
--- a/tests/membership/missing_vms_test.cpp
+++ b/tests/membership/missing_vms_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr Instant start { 100s };
 
-std::set<VmName> firstOf(const std::vector<VmName>& vms, std::size_t count)
+std::set<VmName> firstVms(const std::vector<VmName>& vms, std::size_t count)
 {
     return { vms.begin(), vms.begin() + static_cast<std::ptrdiff_t>(count) };
 }
@@ -27,32 +27,32 @@
     TEST_CASE("195 records that lapse in an outage come back one by one without a move of the fleet")
     {
         // Guards against homes and limits that are dealt anew at each step of the way back.
-        MissingVms vanished;
-        const auto vms = vmsOf(195);
-        CHECK(vanished.retain(vms, {}, start).size() == 195);
-        CHECK(vanished.retain(vms, firstOf(vms, 60), start + 700ms).size() == 135);
-        CHECK(vanished.retain(vms, firstOf(vms, 190), start + 1400ms).size() == 5);
-        CHECK(vanished.hasPending());
-        CHECK(vanished.retain(vms, firstOf(vms, 195), start + 2100ms).empty());
-        CHECK_FALSE(vanished.hasPending());
+        MissingVms missingVms;
+        const auto vms = makeVmNames(195);
+        CHECK(missingVms.retain(vms, {}, start).size() == 195);
+        CHECK(missingVms.retain(vms, firstVms(vms, 60), start + 700ms).size() == 135);
+        CHECK(missingVms.retain(vms, firstVms(vms, 190), start + 1400ms).size() == 5);
+        CHECK(missingVms.hasPending());
+        CHECK(missingVms.retain(vms, firstVms(vms, 195), start + 2100ms).empty());
+        CHECK_FALSE(missingVms.hasPending());
     }
 
     TEST_CASE("a VM that leaves alone is gone at once")
     {
-        MissingVms vanished;
-        CHECK(vanished.retain(vmsOf(195), firstOf(vmsOf(195), 194), start).empty());
-        CHECK(vanished.retain(vmsOf(195), firstOf(vmsOf(195), 185), start).empty());
-        CHECK(vanished.retain(vmsOf(8), firstOf(vmsOf(8), 6), start).empty());
-        CHECK_FALSE(vanished.hasPending());
+        MissingVms missingVms;
+        CHECK(missingVms.retain(makeVmNames(195), firstVms(makeVmNames(195), 194), start).empty());
+        CHECK(missingVms.retain(makeVmNames(195), firstVms(makeVmNames(195), 185), start).empty());
+        CHECK(missingVms.retain(makeVmNames(8), firstVms(makeVmNames(8), 6), start).empty());
+        CHECK_FALSE(missingVms.hasPending());
     }
 
     TEST_CASE("VMs that do not come back go after a while")
     {
-        MissingVms vanished;
-        const auto vms = vmsOf(195);
-        CHECK(vanished.retain(vms, firstOf(vms, 130), start).size() == 65);
-        CHECK(vanished.retain(vms, firstOf(vms, 130), start + 2900ms).size() == 65);
-        CHECK(vanished.retain(vms, firstOf(vms, 130), start + 3000ms).empty());
-        CHECK_FALSE(vanished.hasPending());
+        MissingVms missingVms;
+        const auto vms = makeVmNames(195);
+        CHECK(missingVms.retain(vms, firstVms(vms, 130), start).size() == 65);
+        CHECK(missingVms.retain(vms, firstVms(vms, 130), start + 2900ms).size() == 65);
+        CHECK(missingVms.retain(vms, firstVms(vms, 130), start + 3000ms).empty());
+        CHECK_FALSE(missingVms.hasPending());
     }
 }
--- a/tests/membership/owner_selection_test.cpp
+++ b/tests/membership/owner_selection_test.cpp
@@ -23,10 +23,10 @@
 {
     TEST_CASE("the second home is in another availability zone")
     {
-        checkProperty("zones differ", [](std::uint32_t subject) {
+        checkProperty("zones differ", [](std::uint32_t key) {
             const auto count = *rc::gen::inRange<std::size_t>(2, 30);
             const auto zones = *rc::gen::inRange<std::size_t>(2, 5);
-            const auto owners = selectOwners(makeCandidates(count, zones), std::to_string(subject), 2);
+            const auto owners = selectOwners(makeCandidates(count, zones), std::to_string(key), 2);
             RC_ASSERT(owners.size() == 2U);
             RC_ASSERT(owners[0].zone != owners[1].zone);
         });
@@ -36,26 +36,26 @@
     // all be opened anew at once.
     TEST_CASE("removing a VM moves only what it was home of")
     {
-        checkProperty("stable first home", [](std::uint32_t subject) {
+        checkProperty("stable first home", [](std::uint32_t key) {
             const auto count = *rc::gen::inRange<std::size_t>(2, 30);
             auto candidates = makeCandidates(count, 3);
-            const auto before = selectOwners(candidates, std::to_string(subject), 1).front().vm;
+            const auto before = selectOwners(candidates, std::to_string(key), 1).front().vm;
             const auto removed = *rc::gen::inRange<std::size_t>(0, count);
             const auto gone = candidates[removed].vm;
             candidates.erase(candidates.begin() + static_cast<std::ptrdiff_t>(removed));
-            const auto after = selectOwners(candidates, std::to_string(subject), 1).front().vm;
+            const auto after = selectOwners(candidates, std::to_string(key), 1).front().vm;
             RC_ASSERT(before == gone || after == before);
         });
     }
 
     TEST_CASE("subjects spread evenly over VMs")
     {
-        constexpr int subjects = 9000;
+        constexpr int keys = 9000;
         const auto candidates = makeCandidates(9, 3);
         std::vector<int> counts(9);
-        for (int i = 0; i < subjects; ++i) {
-            const auto home = selectOwners(candidates, std::to_string(i), 1).front().vm;
-            ++counts[std::stoul(home.string().substr(2))];
+        for (int i = 0; i < keys; ++i) {
+            const auto owner = selectOwners(candidates, std::to_string(i), 1).front().vm;
+            ++counts[std::stoul(owner.string().substr(2))];
         }
         const auto [least, most] = std::minmax_element(counts.begin(), counts.end());
         CHECK(*least > 850);
--- a/tests/membership/store_call_throttle_test.cpp
+++ b/tests/membership/store_call_throttle_test.cpp
@@ -18,17 +18,17 @@
 
 /// Calls that `vms` VMs make, of which each wants to call at every step, while all readers say that the store
 /// is away.
-std::size_t triesOf(std::size_t vms, Duration outage)
+std::size_t countCalls(std::size_t vms, Duration outage)
 {
-    std::vector<StoreCallThrottle> gates(vms);
-    std::size_t tries = 0;
-    for (auto& gate : gates)
-        gate.setFleetSize(vms);
+    std::vector<StoreCallThrottle> throttles(vms);
+    std::size_t calls = 0;
+    for (auto& throttle : throttles)
+        throttle.setFleetSize(vms);
     for (auto now = start; now < start + outage; now += step) {
-        for (auto& gate : gates)
-            tries += gate.allowCall(now) ? 1 : 0;
+        for (auto& throttle : throttles)
+            calls += throttle.allowCall(now) ? 1 : 0;
     }
-    return tries;
+    return calls;
 }
 
 } // namespace
@@ -38,45 +38,45 @@
     TEST_CASE("195 VMs before a store that is down for everybody try it seldom")
     {
         // Guards against a thousand calls a second by VMs that each back off by themselves.
-        CHECK(triesOf(195, 4500ms) <= 2 * 195);
-        CHECK(triesOf(8, 4500ms) <= 12 * 8);
+        CHECK(countCalls(195, 4500ms) <= 2 * 195);
+        CHECK(countCalls(8, 4500ms) <= 12 * 8);
     }
 
     TEST_CASE("a VM whose readers are all turned away finds out that the store serves it")
     {
         // Guards against a VM that trusts readers which the store refuses, and goes on with an old
         // configuration.
-        StoreCallThrottle gate;
-        gate.setFleetSize(195);
-        CHECK(gate.allowCall(start));
-        CHECK_FALSE(gate.allowCall(start + 300ms));
-        CHECK(gate.allowCall(start + 2500ms));
-        gate.answered(start + 2510ms);
-        CHECK(gate.allowCall(start + 2520ms));
-        CHECK(gate.allowCall(start + 4000ms));
+        StoreCallThrottle throttle;
+        throttle.setFleetSize(195);
+        CHECK(throttle.allowCall(start));
+        CHECK_FALSE(throttle.allowCall(start + 300ms));
+        CHECK(throttle.allowCall(start + 2500ms));
+        throttle.answered(start + 2510ms);
+        CHECK(throttle.allowCall(start + 2520ms));
+        CHECK(throttle.allowCall(start + 4000ms));
     }
 
     TEST_CASE("the store seems away once most of those next to read are without it")
     {
-        StoreReaderSelector choice;
-        const auto vms = vmsOf(195);
-        choice.setOrder(vms, 2);
+        StoreReaderSelector selector;
+        const auto vms = makeVmNames(195);
+        selector.setOrder(vms, 2);
         for (std::size_t index = 0; index < 2; ++index)
-            choice.skipWithoutStore(vms[index], start + 1s);
-        CHECK_FALSE(choice.storeSeemsUnavailable(start));
-        choice.skipWithoutStore(vms[2], start + 1s);
-        CHECK(choice.storeSeemsUnavailable(start));
-        CHECK_FALSE(choice.storeSeemsUnavailable(start + 1s));
+            selector.skipWithoutStore(vms[index], start + 1s);
+        CHECK_FALSE(selector.storeSeemsUnavailable(start));
+        selector.skipWithoutStore(vms[2], start + 1s);
+        CHECK(selector.storeSeemsUnavailable(start));
+        CHECK_FALSE(selector.storeSeemsUnavailable(start + 1s));
     }
 
     TEST_CASE("readers that do not answer say nothing of the store")
     {
         // Guards against a VM that is cut off from its siblings and therefore leaves the store alone.
-        StoreReaderSelector choice;
-        const auto vms = vmsOf(195);
-        choice.setOrder(vms, 2);
+        StoreReaderSelector selector;
+        const auto vms = makeVmNames(195);
+        selector.setOrder(vms, 2);
         for (std::size_t index = 0; index < 5; ++index)
-            choice.skipWithBackoff(vms[index], 1s, start);
-        CHECK_FALSE(choice.storeSeemsUnavailable(start));
+            selector.skipWithBackoff(vms[index], 1s, start);
+        CHECK_FALSE(selector.storeSeemsUnavailable(start));
     }
 }
--- a/tests/membership/vm_names.h
+++ b/tests/membership/vm_names.h
@@ -9,7 +9,7 @@
 namespace cyclamendrift {
 
 /// "vm-0", "vm-1" and so on.
-inline std::vector<VmName> vmsOf(std::size_t count)
+inline std::vector<VmName> makeVmNames(std::size_t count)
 {
     std::vector<VmName> vms;
     for (std::size_t index = 0; index < count; ++index)
