--- a/src/limits/limit_holders.cpp
+++ b/src/limits/limit_holders.cpp
@@ -1,6 +1,6 @@
 #include <cyclamendrift/limits/limit_holders.h>
 
-#include <cyclamendrift/membership/home_map.h>
+#include <cyclamendrift/membership/owner_selection.h>
 
 #include <algorithm>
 #include <utility>
@@ -9,24 +9,25 @@
 
 namespace {
 
-// Up to here each VM holds a part of every limit. Teams' rates are some 10 to 200 operations a second with as
-// much burst, so a part holds at least one operation, and most operations need no message.
-constexpr std::size_t mostWithParts = 12;
-// With four holders one that dies takes a quarter of the limit along until its record lapses; teams use some
-// six tenths of theirs.
-constexpr std::size_t holdersOfTeam = 4;
-// One VM in so many may be a holder, and six at the least. It bounds the connections between VMs: each VM
-// keeps one to each of these alone.
-constexpr std::size_t vmsPerHolder = 12;
-constexpr std::size_t leastCandidates = 6;
+// Up to this fleet size each VM holds a share of every limit. Teams' rates are about 10 to 200 operations per
+// second with the same burst, so a share comes to about one operation or more, and most operations need no
+// message.
+constexpr std::size_t maxVmsThatAllHold = 12;
+// With four holders, one that dies takes away a quarter of the limit until its record expires. Teams use
+// about 60 % of their limit, so the rest suffices.
+constexpr std::size_t holdersPerTeam = 4;
+// One VM in `vmsPerCandidate` may be a holder, but at least `minCandidates` VMs. This bounds the connections
+// between VMs: for tokens, each VM keeps connections to the candidates only.
+constexpr std::size_t vmsPerCandidate = 12;
+constexpr std::size_t minCandidates = 6;
 
 } // namespace
 
-std::vector<VmName> strongestFirst(const std::map<VmName, VmStrength>& listed)
+std::vector<VmName> rankByCores(const std::map<VmName, VmCapacity>& listed)
 {
     std::vector<VmName> order;
     order.reserve(listed.size());
-    for (const auto& [vm, strength] : listed)
+    for (const auto& [vm, capacity] : listed)
         order.push_back(vm);
     std::stable_sort(order.begin(), order.end(), [&listed](const VmName& left, const VmName& right) {
         return listed.at(left).cores > listed.at(right).cores;
@@ -34,27 +35,27 @@
     return order;
 }
 
-LimitHolders::LimitHolders(std::map<VmName, VmStrength> listed)
+LimitHolders::LimitHolders(std::map<VmName, VmCapacity> listed)
     : listed(std::move(listed))
 {
-    this->strongest = strongestFirst(this->listed);
-    const auto candidates = std::max(this->listed.size() / vmsPerHolder, leastCandidates);
-    this->strongest.resize(std::min(this->strongest.size(), candidates));
+    this->holderCandidates = rankByCores(this->listed);
+    const auto candidates = std::max(this->listed.size() / vmsPerCandidate, minCandidates);
+    this->holderCandidates.resize(std::min(this->holderCandidates.size(), candidates));
 }
 
-bool LimitHolders::areAll() const noexcept { return this->listed.size() <= mostWithParts; }
+bool LimitHolders::includesAllVms() const noexcept { return this->listed.size() <= maxVmsThatAllHold; }
 
-std::vector<VmName> LimitHolders::of(const TeamName& team) const
+std::vector<VmName> LimitHolders::holdersOf(const TeamName& team) const
 {
-    auto holders = this->strongest;
+    auto holders = this->holderCandidates;
     rankByRendezvous(holders, "limit/" + team.string());
-    holders.resize(std::min(holders.size(), holdersOfTeam));
+    holders.resize(std::min(holders.size(), holdersPerTeam));
     return holders;
 }
 
 std::vector<VmName> LimitHolders::donorsFor(const TeamName& team, const VmName& asker) const
 {
-    auto donors = this->of(team);
+    auto donors = this->holdersOf(team);
     std::erase(donors, asker);
     rankByRendezvous(donors, asker.view());
     const auto own = this->listed.find(asker);
--- a/src/limits/team_share.cpp
+++ b/src/limits/team_share.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// A process that restarts must not hand out a whole burst again, as the one before it may just have done.
-// What a quarter of a second accrues lets callers in at once and stays far below the tolerance of the limit.
-constexpr double firstSeconds = 0.25;
+// A process that starts must not admit a whole burst, as the process before it may just have done so. The
+// tokens of a quarter of a second admit callers at once and stay far below the tolerance of the limit.
+constexpr double initialSeconds = 0.25;
 
 } // namespace
 
@@ -17,14 +17,14 @@
     if (this->started)
         this->accrue(now);
     else
-        this->level = std::min(wanted.burst, wanted.ratePerSecond * firstSeconds);
+        this->level = std::min(wanted.burst, wanted.ratePerSecond * initialSeconds);
     this->started = true;
     this->accruedAt = now;
     this->rule = wanted;
     this->level = std::min(this->level, std::max(wanted.burst, 0.0));
 }
 
-bool TeamShare::tryTake(Instant now)
+bool TeamShare::tryAcquire(Instant now)
 {
     this->accrue(now);
     if (this->level < 1)
@@ -36,8 +36,8 @@
 std::uint32_t TeamShare::give(std::uint32_t wanted, Instant now)
 {
     this->accrue(now);
-    const auto kept = this->rule.heldForOthers ? 0 : this->level / 2;
-    const auto spare = static_cast<std::uint32_t>(std::max(this->level - kept, 0.0));
+    const auto reserve = this->rule.heldForOthers ? 0 : this->level / 2;
+    const auto spare = static_cast<std::uint32_t>(std::max(this->level - reserve, 0.0));
     const auto given = std::min(wanted, spare);
     this->level -= given;
     return given;
@@ -49,7 +49,7 @@
     this->level += given;
 }
 
-double TeamShare::atHand(Instant now)
+double TeamShare::availableTokens(Instant now)
 {
     this->accrue(now);
     return this->level;
@@ -60,12 +60,12 @@
     this->accrue(now);
     if (this->level >= 1)
         return {};
-    // A team without any rate here should try elsewhere, and not at once.
-    constexpr std::chrono::duration<double> longest { 1.0 };
+    // A caller of a team without a rate on this VM should retry elsewhere, and not at once.
+    constexpr std::chrono::duration<double> maxPause { 1.0 };
     if (this->rule.ratePerSecond <= 0)
-        return std::chrono::duration_cast<Duration>(longest);
+        return std::chrono::duration_cast<Duration>(maxPause);
     const std::chrono::duration<double> wait { (1 - this->level) / this->rule.ratePerSecond };
-    return std::chrono::duration_cast<Duration>(std::min(wait, longest));
+    return std::chrono::duration_cast<Duration>(std::min(wait, maxPause));
 }
 
 void TeamShare::accrue(Instant now)
@@ -74,7 +74,7 @@
         return;
     const std::chrono::duration<double> elapsed = now - this->accruedAt;
     this->accruedAt = now;
-    // What was received beyond the burst stays until it is used.
+    // Tokens received beyond the burst stay until they are used.
     if (this->level < this->rule.burst)
         this->level = std::min(this->rule.burst, this->level + elapsed.count() * this->rule.ratePerSecond);
 }
--- a/src/membership/home_map.cpp
+++ b/src/membership/owner_selection.cpp
@@ -1,4 +1,4 @@
-#include <cyclamendrift/membership/home_map.h>
+#include <cyclamendrift/membership/owner_selection.h>
 
 #include <cyclamendrift/core/stable_hash.h>
 
@@ -10,21 +10,21 @@
 
 namespace {
 
-/// Something that stands for a VM, with that VM's weight.
+/// An item that names a VM, with that VM's weight.
 template <class Item> struct Ranked {
     std::uint64_t weight = 0;
     const Item* item = nullptr;
 };
 
 const VmName& vmOf(const VmName& vm) { return vm; }
-const VmName& vmOf(const HomeCandidate& candidate) { return candidate.vm; }
+const VmName& vmOf(const OwnerCandidate& candidate) { return candidate.vm; }
 
-template <class Item> std::vector<Ranked<Item>> rank(std::span<const Item> items, std::string_view subject)
+template <class Item> std::vector<Ranked<Item>> rank(std::span<const Item> items, std::string_view key)
 {
     std::vector<Ranked<Item>> ranked;
     ranked.reserve(items.size());
     for (const auto& item : items)
-        ranked.push_back({ .weight = rendezvousWeight(vmOf(item), subject), .item = &item });
+        ranked.push_back({ .weight = rendezvousWeight(vmOf(item), key), .item = &item });
     std::sort(ranked.begin(), ranked.end(), [](const Ranked<Item>& left, const Ranked<Item>& right) {
         if (left.weight != right.weight)
             return left.weight > right.weight;
@@ -35,36 +35,36 @@
 
 } // namespace
 
-std::uint64_t rendezvousWeight(const VmName& vm, std::string_view subject)
+std::uint64_t rendezvousWeight(const VmName& vm, std::string_view key)
 {
-    return stableHash(vm.string() + '\n' + std::string { subject });
+    return stableHash(vm.string() + '\n' + std::string { key });
 }
 
-void rankByRendezvous(std::vector<VmName>& vms, std::string_view subject)
+void rankByRendezvous(std::vector<VmName>& vms, std::string_view key)
 {
     std::vector<VmName> sorted;
     sorted.reserve(vms.size());
-    for (const auto& entry : rank(std::span<const VmName> { vms }, subject))
+    for (const auto& entry : rank(std::span<const VmName> { vms }, key))
         sorted.push_back(*entry.item);
     vms = std::move(sorted);
 }
 
-std::vector<HomeCandidate> chooseHomes(
-    std::span<const HomeCandidate> candidates, std::string_view subject, std::size_t count)
+std::vector<OwnerCandidate> selectOwners(
+    std::span<const OwnerCandidate> candidates, std::string_view key, std::size_t count)
 {
-    auto ranked = rank(candidates, subject);
-    // Two homes in one availability zone would be lost together with it.
+    auto ranked = rank(candidates, key);
+    // Two owners in one availability zone would fail together with it.
     if (ranked.size() > 2) {
         const auto& firstZone = ranked.front().item->zone;
-        const auto elsewhere = std::find_if(ranked.begin() + 1, ranked.end(),
+        const auto inOtherZone = std::find_if(ranked.begin() + 1, ranked.end(),
             [&firstZone](const auto& entry) { return entry.item->zone != firstZone; });
-        if (elsewhere != ranked.end())
-            std::rotate(ranked.begin() + 1, elsewhere, elsewhere + 1);
+        if (inOtherZone != ranked.end())
+            std::rotate(ranked.begin() + 1, inOtherZone, inOtherZone + 1);
     }
-    std::vector<HomeCandidate> homes;
+    std::vector<OwnerCandidate> owners;
     for (const auto& entry : std::span { ranked }.first(std::min(count, ranked.size())))
-        homes.push_back(*entry.item);
-    return homes;
+        owners.push_back(*entry.item);
+    return owners;
 }
 
 } // namespace cyclamendrift
--- a/tests/limits/team_share_test.cpp
+++ b/tests/limits/team_share_test.cpp
@@ -1,5 +1,5 @@
-#include <cyclamendrift/limits/demand_shares.h>
-#include <cyclamendrift/limits/donor_choice.h>
+#include <cyclamendrift/limits/donor_selector.h>
+#include <cyclamendrift/limits/limit_shares.h>
 #include <cyclamendrift/limits/team_share.h>
 
 #include <property.h>
@@ -27,55 +27,57 @@
 
 } // namespace
 
-TEST_SUITE("a team's limit over the fleet")
+TEST_SUITE("shares of a team's limit")
 {
-    TEST_CASE("parts follow demand and add up to the whole")
+    TEST_CASE("shares follow demand and add up to the limit")
     {
+        // Guards against a split that exceeds the limit, or that leaves no share to a VM without demand.
         const auto listed = listOf({ 60, 20, 0, 0 });
         double rate = 0;
-        std::vector<double> parts;
+        std::vector<double> shareRates;
         for (const auto& [vm, demand] : listed) {
-            DemandShares shares;
-            shares.update(limits, vm, listed, Instant { 1s });
-            parts.push_back(shares.current().at(team).ratePerSecond);
-            rate += parts.back();
+            LimitShares shares;
+            shares.updateByDemand(limits, vm, listed, Instant { 1s });
+            shareRates.push_back(shares.current().at(team).ratePerSecond);
+            rate += shareRates.back();
         }
         CHECK(rate == doctest::Approx(100));
-        CHECK(parts[0] > parts[1]);
-        CHECK(parts[2] > 0);
+        CHECK(shareRates[0] > shareRates[1]);
+        CHECK(shareRates[2] > 0);
     }
 
-    TEST_CASE("a part that grows waits until the others have read the new list, one that shrinks does not")
+    TEST_CASE("a larger share takes effect after the growth delay, a smaller one at once")
     {
-        // Callers move from one VM to another. If the second used its larger part before the first had given
-        // it up, the team would get more than its rate for as long as the lists differ.
-        DemandShares shares;
+        // Guards against a team that gets more than its rate when its callers move to another VM: that VM
+        // would use its larger share before the first one has read the new list and reduced its own.
+        LimitShares shares;
         const VmName self { "vm-0" };
-        shares.update(limits, self, listOf({ 10, 90 }), Instant { 1s });
+        shares.updateByDemand(limits, self, listOf({ 10, 90 }), Instant { 1s });
         const auto before = shares.current().at(team).ratePerSecond;
-        shares.update(limits, self, listOf({ 90, 10 }), Instant { 2s });
+        shares.updateByDemand(limits, self, listOf({ 90, 10 }), Instant { 2s });
         CHECK(shares.current().at(team).ratePerSecond == doctest::Approx(before));
-        shares.update(limits, self, listOf({ 90, 10 }), Instant { 3s + 400ms });
-        shares.update(limits, self, listOf({ 90, 10 }), Instant { 4s });
+        shares.updateByDemand(limits, self, listOf({ 90, 10 }), Instant { 3s + 400ms });
+        shares.updateByDemand(limits, self, listOf({ 90, 10 }), Instant { 4s });
         CHECK(shares.current().at(team).ratePerSecond > before);
-        shares.update(limits, self, listOf({ 10, 90 }), Instant { 5s });
+        shares.updateByDemand(limits, self, listOf({ 10, 90 }), Instant { 5s });
         CHECK(shares.current().at(team).ratePerSecond == doctest::Approx(before));
     }
 
-    TEST_CASE("a process that starts does not hand out a whole burst again")
+    TEST_CASE("a process that starts does not admit a whole burst")
     {
-        // A VM is killed right after its team has used its burst. With a full bucket for the next process the
-        // team would get the burst twice within a second.
+        // Guards against a team that gets its burst twice within a second, when a process is killed right
+        // after the burst was used and the next one starts with a full bucket.
         TeamShare share;
         share.setRule({ .ratePerSecond = 8, .burst = 50 }, Instant { 1s });
         int admitted = 0;
-        while (share.tryTake(Instant { 1s }))
+        while (share.tryAcquire(Instant { 1s }))
             ++admitted;
         CHECK(admitted == 2);
     }
 
-    TEST_CASE("whatever VMs give each other, no window sees more than rate and burst")
+    TEST_CASE("VMs that give each other tokens stay within rate and burst together")
     {
+        // Guards against tokens that are counted on both VMs after one gave them to the other.
         checkProperty("tokens are conserved", [](std::uint64_t seed) {
             std::mt19937_64 random { seed };
             constexpr std::size_t vms = 5;
@@ -93,39 +95,40 @@
                 if (random() % 3 == 0 && &one != &other)
                     one.receive(other.give(static_cast<std::uint32_t>(random() % 4), now), now);
                 for (int asked = 0; asked < 3; ++asked)
-                    admitted += one.tryTake(now) ? 1 : 0;
+                    admitted += one.tryAcquire(now) ? 1 : 0;
             }
             const std::chrono::duration<double> window = now - start - 3s;
             RC_ASSERT(admitted <= 100 * window.count() + 50 + 1);
         });
     }
 
-    TEST_CASE("siblings with the largest part are asked first, those that had too little are passed over")
+    TEST_CASE("siblings with the highest demand are asked first, those that had too few tokens are skipped")
     {
-        DonorChoice donors;
+        // Guards against requests to siblings that are unlikely to have tokens.
+        DonorSelector donors;
         const Instant now { 1s };
         const auto listed = listOf({ 5, 40, 10, 30 });
         const VmName self { "vm-1" };
-        CHECK(donors.choose(team, self, listed, 2, now)
+        CHECK(donors.select(team, self, listed, 2, now)
             == std::vector { VmName { "vm-3" }, VmName { "vm-2" } });
-        donors.gaveTooLittle(team, VmName { "vm-3" }, now);
-        CHECK(donors.choose(team, self, listed, 2, now)
+        donors.recordShortfall(team, VmName { "vm-3" }, now);
+        CHECK(donors.select(team, self, listed, 2, now)
             == std::vector { VmName { "vm-2" }, VmName { "vm-0" } });
-        CHECK(donors.choose(team, self, listed, 1, now + 200ms) == std::vector { VmName { "vm-3" } });
+        CHECK(donors.select(team, self, listed, 1, now + 200ms) == std::vector { VmName { "vm-3" } });
     }
 
-    TEST_CASE("a sibling that does not answer is left alone for every team, one that is spent for its own")
+    TEST_CASE("a sibling that does not answer is skipped for all teams, one without tokens for that team")
     {
         // Guards against operations that spend all their time on siblings behind a partition.
-        DonorChoice donors;
+        DonorSelector donors;
         const Instant now { 1s };
         const TeamName other { "other" };
         const std::vector<VmName> holders { VmName { "vm-0" }, VmName { "vm-1" }, VmName { "vm-2" } };
-        donors.didNotAnswer(VmName { "vm-0" }, now);
-        donors.gaveTooLittle(team, VmName { "vm-1" }, now);
-        CHECK(donors.choose(team, holders, 4, now) == std::vector { VmName { "vm-2" } });
-        CHECK(donors.choose(other, holders, 4, now + 200ms)
+        donors.recordNoAnswer(VmName { "vm-0" }, now);
+        donors.recordShortfall(team, VmName { "vm-1" }, now);
+        CHECK(donors.select(team, holders, 4, now) == std::vector { VmName { "vm-2" } });
+        CHECK(donors.select(other, holders, 4, now + 200ms)
             == std::vector { VmName { "vm-1" }, VmName { "vm-2" } });
-        CHECK(donors.choose(team, holders, 4, now + 300ms) == holders);
+        CHECK(donors.select(team, holders, 4, now + 300ms) == holders);
     }
 }
