--- a/include/cyclamendrift/pooling/caller_statement.h
+++ b/include/cyclamendrift/pooling/caller_statement.h
@@ -45,11 +45,11 @@
     std::string name;
 };
 /// A text that is none of these; answered with an error.
-struct UnreadableStatement { };
+struct MalformedStatement { };
 
 /// Any statement of a caller.
 using CallerStatement = std::variant<BeginTransaction, CommitTransaction, RollbackTransaction, ReadItem,
-    WriteItem, SetSessionValue, PrepareStatement, ExecutePrepared, DeallocateStatement, UnreadableStatement>;
+    WriteItem, SetSessionValue, PrepareStatement, ExecutePrepared, DeallocateStatement, MalformedStatement>;
 
 /// A statement with the id and the text under which it is passed on unchanged.
 struct CallerQuery {
--- a/include/cyclamendrift/pooling/engine_actions.h
+++ b/include/cyclamendrift/pooling/engine_actions.h
@@ -2,7 +2,7 @@
 
 #include <cyclamendrift/core/identifier.h>
 #include <cyclamendrift/core/progress.h>
-#include <cyclamendrift/pooling/handed_work.h>
+#include <cyclamendrift/pooling/forwarded_statement.h>
 #include <cyclamendrift/pooling/reply.h>
 #include <cyclamendrift/pooling/session_state.h>
 #include <cyclamendrift/pooling/upstream_directory.h>
@@ -29,7 +29,7 @@
 /// Ends a transaction on a connection without keeping anything.
 struct DropTransaction { };
 /// A caller's statement, passed on under its id and with its text.
-struct PassStatement {
+struct RelayStatement {
     std::string id;
     std::string text;
     std::optional<Progress> after;
@@ -38,7 +38,7 @@
 };
 /// What goes to an upstream over a connection.
 using UpstreamStatement = std::variant<ResetConnection, ApplyValue, ApplyPrepared, OpenTransaction,
-    DropTransaction, PassStatement>;
+    DropTransaction, RelayStatement>;
 
 /// Open a connection on behalf of a team; the upstream is to confirm its name.
 struct OpenConnection {
@@ -70,40 +70,41 @@
     std::optional<StatementFailure> failure;
 };
 /// Ask siblings for part of their share of a team's limit; the answer comes through tokensReceived().
-struct AskForTokens {
+struct RequestTokens {
     TeamName team;
     std::uint32_t wanted = 0;
 };
 /// Hand a caller's statement to the home of its service; what becomes of it comes through
-/// handedWorkAnswered() or handedWorkFailed().
-struct HandWork {
+/// forwardedStatementAnswered() or forwardingFailed().
+struct ForwardStatement {
     CallerId caller {};
-    VmName home;
-    HandedWork work;
+    VmName owner;
+    ForwardedStatement work;
     /// The home's answer is given up after this.
     Duration timeLimit {};
 };
-/// Ask a home for a sign of life; whether it gave one comes through homeAsked().
-struct AskHome {
-    VmName home;
+/// Ask a home for a sign of life; whether it gave one comes through ownerLivenessChecked().
+struct CheckOwnerLiveness {
+    VmName owner;
 };
 /// Tell a home that nobody goes on with a guest's transaction.
-struct LetGuestGo {
-    VmName home;
-    CallerId guest {};
+struct ReleaseRemoteSession {
+    VmName owner;
+    CallerId remoteSession {};
 };
 /// Answer a statement that a sibling handed on.
-struct AnswerGuest {
-    CallerId guest {};
+struct AnswerRemoteSession {
+    CallerId remoteSession {};
     Reply reply;
 };
 /// A decision that the log should hold.
-struct LogDecision {
+struct LogEvent {
     std::string event;
     std::vector<std::pair<std::string, std::string>> fields;
 };
 /// Anything that an engine wants done.
 using EngineAction = std::variant<OpenConnection, SendStatement, CloseConnection, AcceptCaller, AnswerCaller,
-    CloseCaller, AskForTokens, HandWork, AskHome, LetGuestGo, AnswerGuest, LogDecision>;
+    CloseCaller, RequestTokens, ForwardStatement, CheckOwnerLiveness, ReleaseRemoteSession,
+    AnswerRemoteSession, LogEvent>;
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/pooling/engine_settings.h
+++ b/include/cyclamendrift/pooling/engine_settings.h
@@ -15,30 +15,30 @@
     Duration setupTimeout = std::chrono::milliseconds { 400 };
     /// After a failed connection an upstream is left alone for this long, doubling up to the second figure.
     /// It bounds how long a healed upstream goes unused.
-    Duration downPause = std::chrono::milliseconds { 100 };
-    Duration downPauseAtMost = std::chrono::milliseconds { 1000 };
+    Duration reconnectBackoff = std::chrono::milliseconds { 100 };
+    Duration maxReconnectBackoff = std::chrono::milliseconds { 1000 };
     /// Pause after an upstream said that it is full; about the time in which one of its slots comes free.
-    Duration busyPause = std::chrono::milliseconds { 10 };
+    Duration busyBackoff = std::chrono::milliseconds { 10 };
     /// Pause of one piece of work after an upstream had no connection left; others close borrowed ones
     /// meanwhile.
-    Duration fullPause = std::chrono::milliseconds { 40 };
+    Duration connectionLimitBackoff = std::chrono::milliseconds { 40 };
     /// Pause after a replica said that it lags; doubles up to the second figure while it goes on.
-    Duration laggingPause = std::chrono::milliseconds { 40 };
-    Duration laggingPauseAtMost = std::chrono::milliseconds { 640 };
+    Duration laggingBackoff = std::chrono::milliseconds { 40 };
+    Duration maxLaggingBackoff = std::chrono::milliseconds { 640 };
     /// Connections beyond its share that a VM may take of an upstream while nobody misses them.
-    std::size_t borrowed = 1;
+    std::size_t maxBorrowedConnections = 1;
     /// After an upstream had no connection left, this VM keeps to its own share for this long.
-    Duration borrowPause = std::chrono::milliseconds { 500 };
+    Duration borrowBackoff = std::chrono::milliseconds { 500 };
     /// A connection that nobody has used for so long is closed. A VM's share does not cover all its teams, so
     /// a connection that is kept longer is rather in the way of another team's; and when all VMs lose power,
     /// what was open then stays taken at the upstreams for three seconds more.
-    Duration idleTime = std::chrono::milliseconds { 200 };
+    Duration idleTimeout = std::chrono::milliseconds { 200 };
     /// The same where services have homes, which have a connection for most of their teams: small teams ask
     /// about once a second.
-    Duration idleTimeAtHome = std::chrono::milliseconds { 1000 };
+    Duration ownerIdleTimeout = std::chrono::milliseconds { 1000 };
     /// A VM whose even part of an upstream's connections is as large serves its callers by itself, without
     /// homes: a statement and a transaction at rest for each of two teams.
-    std::size_t ownPartSuffices = 4;
+    std::size_t minShareWithoutOwners = 4;
     /// Subtracted from the staleness that a route allows, for the way of the statement to the upstream.
     Duration stalenessMargin = std::chrono::milliseconds { 100 };
     /// Work that waits for a view of the primary is refused after this part of its target latency; by then
@@ -47,28 +47,28 @@
     /// A connection that comes free goes to waiting work of its own team rather than to work of another team
     /// that came up to so much earlier: a connection is bound to its team, and opening one for another takes
     /// the upstream as long as a short statement.
-    Duration teamAffinity = std::chrono::milliseconds { 80 };
+    Duration teamAffinityWindow = std::chrono::milliseconds { 80 };
     /// Retry advice while a primary is being replaced; the change takes about so long.
-    Duration changeAdvice = std::chrono::milliseconds { 1000 };
+    Duration primaryChangeRetryAfter = std::chrono::milliseconds { 1000 };
     /// Retry advice when all connections are taken.
-    Duration overloadAdvice = std::chrono::milliseconds { 100 };
+    Duration overloadRetryAfter = std::chrono::milliseconds { 100 };
     /// An operation beyond this VM's share of its team's limit waits this part of its target latency for
     /// siblings to give some of theirs; a round trip to them takes 2 to 4 ms.
     int admissionWaitDivisor = 4;
     /// Pause after siblings had nothing to give.
-    Duration askPause = std::chrono::milliseconds { 60 };
+    Duration tokenRequestBackoff = std::chrono::milliseconds { 60 };
     /// Tries of one statement that was not run, the first included.
     std::size_t attempts = 6;
     /// A home that could not be reached, or did not answer, is passed over for so long. A home that freezes
     /// costs each VM one statement in this time.
-    Duration homePause = std::chrono::milliseconds { 2000 };
+    Duration ownerBackoff = std::chrono::milliseconds { 2000 };
     /// A statement that was handed on is given up this much after its own time limit, at which the home
     /// answers.
-    Duration homeGrace = std::chrono::milliseconds { 50 };
+    Duration ownerReplyGrace = std::chrono::milliseconds { 50 };
     /// While this VM stops, a caller that has connected but not begun its session gets this much time for it.
-    Duration startPatience = std::chrono::milliseconds { 300 };
+    Duration sessionStartTimeout = std::chrono::milliseconds { 300 };
     /// Statements that a caller may have sent ahead of their answers.
-    std::size_t pipelined = 64;
+    std::size_t maxPipelinedStatements = 64;
 };
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/pooling/handed_work.h
+++ b/include/cyclamendrift/pooling/forwarded_statement.h
@@ -16,17 +16,17 @@
 enum class CallerId : std::uint64_t {};
 
 /// What a statement does to the data, which decides what may be said when its answer does not come.
-enum class WorkKind : std::uint8_t { Read, Write, Commit };
+enum class StatementKind : std::uint8_t { Read, Write, Commit };
 
 /// A statement that a VM hands to the home of its service, with all that the home needs to run it. Keys and
 /// limits were checked by the VM that hands it on.
-struct HandedWork {
+struct ForwardedStatement {
     /// The session at the home on whose behalf it runs; drawn at random, so that no two VMs choose the same.
-    CallerId guest {};
+    CallerId remoteSession {};
     /// It goes on in the transaction that the guest has open.
-    bool continues = false;
+    bool continuesTransaction = false;
     CallerQuery query;
-    WorkKind kind = WorkKind::Read;
+    StatementKind kind = StatementKind::Read;
     TeamName team;
     Route route;
     /// The session's values, and the prepared statement that it runs, if it runs one.
@@ -34,8 +34,8 @@
     bool inTransaction = false;
     bool readOnly = false;
     /// What the session has written to this service, and how long ago.
-    std::optional<Progress> floor;
-    Duration floorAge {};
+    std::optional<Progress> requiredProgress;
+    Duration requiredProgressAge {};
     /// How long the statement has waited already.
     Duration waited {};
 };
--- a/include/cyclamendrift/pooling/leader_view.h
+++ b/include/cyclamendrift/pooling/leader_view.h
@@ -18,19 +18,19 @@
         /// The primary is being replaced.
         Changing,
         /// `primary` leads `term`.
-        Led,
+        Settled,
     };
 
     Phase phase = Phase::Unknown;
     UpstreamName primary;
     Term term {};
     /// The view holds before this instant.
-    Instant validUntil = Instant::min();
+    Instant expiresAt = Instant::min();
 
     /// True while work may be sent to the primary.
-    [[nodiscard]] bool holds(Instant now) const noexcept
+    [[nodiscard]] bool isValid(Instant now) const noexcept
     {
-        return this->phase == Phase::Led && now < this->validUntil;
+        return this->phase == Phase::Settled && now < this->expiresAt;
     }
 };
 
--- a/include/cyclamendrift/pooling/home_health.h
+++ b/include/cyclamendrift/pooling/owner_health.h
@@ -14,19 +14,19 @@
 ///
 ///     for (const auto& home : health.due(now))
 ///         askForSignOfLife(home);
-class HomeHealth {
+class OwnerHealth {
 public:
     /// Statements wait at these homes, the oldest of each since that instant.
-    void noteWaiting(const std::map<VmName, Instant>& oldest);
+    void recordWaiting(const std::map<VmName, Instant>& oldest);
     /// A home has answered something.
-    void answered(const VmName& home, Instant now);
+    void answered(const VmName& owner, Instant now);
 
     /// The homes to ask for a sign of life now; each counts as asked.
-    [[nodiscard]] std::vector<VmName> due(Instant now);
+    [[nodiscard]] std::vector<VmName> beginDueChecks(Instant now);
     /// Takes in what came of a question; returns true when the home is newly out of reach.
-    [[nodiscard]] bool askEnded(const VmName& home, bool gaveSign, Instant now);
+    [[nodiscard]] bool checkEnded(const VmName& owner, bool alive, Instant now);
 
-    [[nodiscard]] bool isOutOfReach(const VmName& home) const;
+    [[nodiscard]] bool isUnreachable(const VmName& owner) const;
 
 private:
     struct Home {
@@ -39,7 +39,7 @@
         Instant lostAt = Instant::min();
     };
 
-    std::map<VmName, Home> homes;
+    std::map<VmName, Home> owners;
 };
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/pooling/progress_history.h
+++ b/include/cyclamendrift/pooling/progress_history.h
@@ -23,11 +23,11 @@
     };
 
     /// Takes an observation in. One of a higher term drops those of lower terms, whose log may have been cut.
-    void note(const Observation& observation);
+    void record(const Observation& observation);
 
     /// The oldest position that covers every commit acknowledged before `instant`; it is the one that a
     /// lagging replica most likely has. Empty when nothing was observed since.
-    [[nodiscard]] std::optional<Observation> covering(Instant instant) const;
+    [[nodiscard]] std::optional<Observation> oldestCovering(Instant instant) const;
 
     /// How far a log that has come to `progress` is behind the primary at least; zero when nothing beyond it
     /// was seen.
--- a/include/cyclamendrift/pooling/route_table.h
+++ b/include/cyclamendrift/pooling/route_table.h
@@ -59,7 +59,7 @@
     /// Connections to one upstream that all VMs may hold together.
     std::map<ServiceName, std::uint32_t> connectionCaps;
     /// A transaction in which the caller rests for longer may be ended.
-    Duration transactionIdleTime = std::chrono::seconds { 3 };
+    Duration maxTransactionIdleTime = std::chrono::seconds { 3 };
 
     /// The route of a database, or null.
     [[nodiscard]] const Route* findRoute(const std::string& database) const;
--- a/include/cyclamendrift/pooling/group_homes.h
+++ b/include/cyclamendrift/pooling/service_owners.h
@@ -18,11 +18,11 @@
 /// callers does without homes. Homes are chosen among the strongest VMs, as each VM keeps a link to each home
 /// that it speaks to. Used on one thread, as it remembers what it chose.
 ///
-///     const auto order = homes.orderFor(service, team, connectionCap);
+///     const auto order = homes.rankedOwners(service, team, connectionCap);
 ///     if (order.front() != homes.self()) handOn(order.front(), work);
-class GroupHomes {
+class ServiceOwners {
 public:
-    GroupHomes(VmName self, const std::map<VmName, VmStrength>& listed);
+    ServiceOwners(VmName self, const std::map<VmName, VmStrength>& listed);
 
     /// True when so many VMs are more than the homes of a service; with fewer every VM would be one.
     [[nodiscard]] static bool areUseful(std::size_t vms) noexcept;
@@ -30,28 +30,30 @@
     [[nodiscard]] const VmName& self() const noexcept { return this->own; }
 
     /// The homes of a service whose upstreams bear so many connections each; the same on every VM.
-    [[nodiscard]] const std::vector<VmName>& of(const ServiceName& service, std::uint32_t connectionCap);
+    [[nodiscard]] const std::vector<VmName>& ownersOf(
+        const ServiceName& service, std::uint32_t connectionCap);
 
     /// These homes in the order in which a team's work goes to them: all of it to the first one that can be
     /// reached.
-    [[nodiscard]] const std::vector<VmName>& orderFor(
+    [[nodiscard]] const std::vector<VmName>& rankedOwners(
         const ServiceName& service, const TeamName& team, std::uint32_t connectionCap);
 
     /// Connections to one upstream that this VM may hold.
-    [[nodiscard]] std::size_t shareOf(const ServiceName& service, std::uint32_t connectionCap);
+    [[nodiscard]] std::size_t connectionShareOf(const ServiceName& service, std::uint32_t connectionCap);
 
 private:
     /// What was chosen for a service, as long as its upstreams bear as many connections.
     struct Choice {
         std::uint32_t connectionCap = 0;
-        std::vector<VmName> homes;
+        std::vector<VmName> owners;
         std::size_t share = 0;
         std::map<TeamName, std::vector<VmName>> orders;
     };
 
     [[nodiscard]] Choice& choiceFor(const ServiceName& service, std::uint32_t connectionCap);
     [[nodiscard]] std::vector<VmName> choose(const ServiceName& service, std::uint32_t connectionCap) const;
-    [[nodiscard]] std::size_t shareAmong(const std::vector<VmName>& homes, std::uint32_t connectionCap) const;
+    [[nodiscard]] std::size_t shareAmong(
+        const std::vector<VmName>& owners, std::uint32_t connectionCap) const;
 
     VmName own;
     /// The VMs among which homes are chosen.
--- a/include/cyclamendrift/pooling/session_engine.h
+++ b/include/cyclamendrift/pooling/session_engine.h
@@ -6,10 +6,10 @@
 #include <cyclamendrift/pooling/caller_statement.h>
 #include <cyclamendrift/pooling/engine_actions.h>
 #include <cyclamendrift/pooling/engine_settings.h>
-#include <cyclamendrift/pooling/group_homes.h>
-#include <cyclamendrift/pooling/handed_work.h>
+#include <cyclamendrift/pooling/forwarded_statement.h>
 #include <cyclamendrift/pooling/leader_view.h>
 #include <cyclamendrift/pooling/route_table.h>
+#include <cyclamendrift/pooling/service_owners.h>
 #include <cyclamendrift/pooling/upstream_directory.h>
 
 #include <cstddef>
@@ -23,7 +23,7 @@
 namespace cyclamendrift {
 
 /// What this VM saw of an upstream through the work it sent there.
-struct UpstreamEvidence {
+struct UpstreamHealth {
     ServiceName service;
     UpstreamName upstream;
     /// When it last answered anything.
@@ -41,13 +41,13 @@
     std::size_t vms = 0;
     std::size_t rank = 0;
     /// Who holds the connections of which service; null while every VM holds a part.
-    std::shared_ptr<GroupHomes> homes;
+    std::shared_ptr<ServiceOwners> owners;
 };
 
 /// Why there is no answer from a home.
-enum class HandFailure : std::uint8_t {
+enum class ForwardFailure : std::uint8_t {
     /// The home has not seen the statement, or has not taken it.
-    NotTaken,
+    NotAccepted,
     /// It may have run.
     Lost,
 };
@@ -63,8 +63,8 @@
     std::uint64_t readsOnReplicas = 0;
     std::uint64_t readsOnPrimary = 0;
     /// Statements handed to a home, and those that siblings handed to this VM.
-    std::uint64_t handedOn = 0;
-    std::uint64_t takenForSiblings = 0;
+    std::uint64_t forwarded = 0;
+    std::uint64_t acceptedFromSiblings = 0;
 };
 
 /// Serves callers' sessions from a pool of upstream connections: checks keys and limits, keeps each session's
@@ -72,8 +72,8 @@
 /// never sends a write twice. Does no I/O: its owner reports what happens and carries out what takeActions()
 /// returns.
 ///
-///     engine.callerStarted(caller, start, now);
-///     engine.callerAsked(caller, query, now);
+///     engine.callerStartedSession(caller, start, now);
+///     engine.callerSentStatement(caller, query, now);
 ///     for (const auto& action : engine.takeActions()) perform(action);
 class SessionEngine {
 public:
@@ -91,9 +91,9 @@
 
     // What callers do.
     void callerConnected(CallerId caller, Instant now);
-    void callerStarted(CallerId caller, const SessionStart& start, Instant now);
-    void callerAsked(CallerId caller, CallerQuery query, Instant now);
-    void callerLeft(CallerId caller, Instant now);
+    void callerStartedSession(CallerId caller, const SessionStart& start, Instant now);
+    void callerSentStatement(CallerId caller, CallerQuery query, Instant now);
+    void callerDisconnected(CallerId caller, Instant now);
 
     // What happens to connections.
     void connectionOpened(ConnectionId connection, std::optional<Progress> progress, Instant now);
@@ -102,13 +102,13 @@
     void upstreamReplied(ConnectionId connection, Reply reply, Instant now);
 
     // What siblings hand on, and what becomes of what this VM has handed on.
-    void guestAsked(HandedWork work, Instant now);
-    void guestLeft(CallerId guest, Instant now);
+    void forwardedStatementReceived(ForwardedStatement work, Instant now);
+    void remoteSessionReleased(CallerId remoteSession, Instant now);
     // `guest` is that of the work, which may have been given up meanwhile.
-    void handedWorkAnswered(CallerId caller, CallerId guest, Reply reply, Instant now);
-    void handedWorkFailed(CallerId caller, CallerId guest, HandFailure failure, Instant now);
+    void forwardedStatementAnswered(CallerId caller, CallerId remoteSession, Reply reply, Instant now);
+    void forwardingFailed(CallerId caller, CallerId remoteSession, ForwardFailure failure, Instant now);
     /// A home was asked for a sign of life.
-    void homeAsked(const VmName& home, bool gaveSign, Instant now);
+    void ownerLivenessChecked(const VmName& owner, bool alive, Instant now);
 
     // What the control side knows.
     void setRoutes(std::shared_ptr<const RouteTable> routes, Instant now);
@@ -133,7 +133,7 @@
     [[nodiscard]] std::vector<EngineAction> takeActions();
 
     /// What was seen of upstreams; for the control side, which decides about primaries.
-    [[nodiscard]] std::vector<UpstreamEvidence> evidence() const;
+    [[nodiscard]] std::vector<UpstreamHealth> upstreamHealth() const;
 
     /// Operations that each team asked for since the last call, admitted or not.
     [[nodiscard]] std::map<TeamName, std::uint64_t> takeDemand();
--- a/include/cyclamendrift/pooling/session_state.h
+++ b/include/cyclamendrift/pooling/session_state.h
@@ -37,7 +37,8 @@
 public:
     /// The steps after which the connection has exactly the session's values and, when `needed` is given, a
     /// name for that shape. They count as done at once: if one fails the connection is to be closed.
-    [[nodiscard]] std::vector<SetupStep> match(const SessionState& session, const PreparedShape* needed);
+    [[nodiscard]] std::vector<SetupStep> stepsToMatch(
+        const SessionState& session, const PreparedShape* needed);
 
     /// The connection's name for a shape that was matched.
     [[nodiscard]] const std::string& nameOf(const PreparedShape& shape) const;
--- a/include/cyclamendrift/pooling/upstream_directory.h
+++ b/include/cyclamendrift/pooling/upstream_directory.h
@@ -19,13 +19,13 @@
     std::uint16_t port = 0;
     ZoneName zone;
     /// Statements that it works on at a time.
-    std::uint32_t slots = 1;
+    std::uint32_t maxConcurrency = 1;
     /// True once it has announced that it ends; it gets no new work.
     bool draining = false;
     /// True when it takes itself for the primary.
     bool claimsPrimary = false;
     /// Milliseconds since 1970 at which it started; tells a restart under the same name from going on.
-    std::int64_t bornMs = 0;
+    std::int64_t startedAtMs = 0;
 
     friend bool operator==(const UpstreamEntry&, const UpstreamEntry&) = default;
 };
--- a/include/cyclamendrift/session_proxy/session_traffic.h
+++ b/include/cyclamendrift/session_proxy/session_traffic.h
@@ -17,7 +17,7 @@
 
 /// What the control side wants to know of the traffic.
 struct TrafficReport {
-    std::vector<UpstreamEvidence> evidence;
+    std::vector<UpstreamHealth> upstreamHealth;
     std::map<TeamName, std::uint64_t> demand;
     EngineCounters counters;
     SiblingTraffic siblingTraffic;
--- a/include/cyclamendrift/session_proxy/sibling_exchange.h
+++ b/include/cyclamendrift/session_proxy/sibling_exchange.h
@@ -58,7 +58,7 @@
         std::function<void(const std::string&)> letGuestGo;
     };
     /// The answer of a home, or why there is none.
-    using HomeAnswer = std::variant<std::string, HandFailure>;
+    using HomeAnswer = std::variant<std::string, ForwardFailure>;
 
     explicit SiblingExchange(Options options);
     ~SiblingExchange();
--- a/src/leadership/leader_coordinator.cpp
+++ b/src/leadership/leader_coordinator.cpp
@@ -150,7 +150,7 @@
     // A promotion ends the pause of every replica, and one that lags answers as before until it hears of the
     // new term. By then each view has ended; only what still holds may be prolonged.
     const bool confirms = !status.isPrimary && status.term == record->term && status.heldTerm <= record->term
-        && upstream != record->primary && this->view().holds(now);
+        && upstream != record->primary && this->view().isValid(now);
     if (confirms)
         this->noteConfirmation(*member, askedAt, now);
     if (this->replacement && !status.isPrimary)
@@ -221,8 +221,8 @@
 
 bool LeaderCoordinator::needsLease(Instant now) const
 {
-    const bool holds = this->known.duty && this->known.duty->holder == this->options.vm;
-    return holds || this->isTurnToTakeDuty(now);
+    const bool isHolder = this->known.duty && this->known.duty->holder == this->options.vm;
+    return isHolder || this->isTurnToTakeDuty(now);
 }
 
 bool LeaderCoordinator::isTurnToTakeDuty(Instant now) const
--- a/src/leadership/view_renewal.cpp
+++ b/src/leadership/view_renewal.cpp
@@ -43,18 +43,18 @@
     if (!this->readOnce || !this->known.record)
         return view;
     const auto& record = this->record();
-    view.phase = record.isSettled() ? LeaderView::Phase::Led : LeaderView::Phase::Changing;
+    view.phase = record.isSettled() ? LeaderView::Phase::Settled : LeaderView::Phase::Changing;
     view.primary = record.primary;
     view.term = record.term;
     const auto vouchedAt = std::max(this->known.askedAt, this->replicasVouchedAt);
     if (vouchedAt > this->disprovedAt)
-        view.validUntil = vouchedAt + this->options.settings.viewLifetime;
+        view.expiresAt = vouchedAt + this->options.settings.viewLifetime;
     return view;
 }
 
 std::optional<Instant> LeaderCoordinator::vouchedAt(Instant now) const
 {
-    if (!this->view().holds(now))
+    if (!this->view().isValid(now))
         return std::nullopt;
     return std::max(this->known.askedAt, this->replicasVouchedAt);
 }
@@ -122,7 +122,7 @@
 {
     const auto& settings = this->options.settings;
     // What has ended cannot be prolonged.
-    if (!this->isSilent(now) || !this->view().holds(now))
+    if (!this->isSilent(now) || !this->view().isValid(now))
         return;
     for (auto& member : this->members) {
         const bool due = now >= member.confirmedAt + settings.confirmInterval;
@@ -138,14 +138,14 @@
     const bool changed = next.phase != this->published.phase || next.primary != this->published.primary
         || next.term != this->published.term;
     const bool renewed
-        = next.validUntil > this->published.validUntil && now >= this->lastPublished + publishInterval;
-    const bool ended = next.validUntil < this->published.validUntil && this->published.holds(now);
+        = next.expiresAt > this->published.expiresAt && now >= this->lastPublished + publishInterval;
+    const bool ended = next.expiresAt < this->published.expiresAt && this->published.isValid(now);
     if (!changed && !renewed && !ended)
         return;
     if (changed)
         this->note("leader_view",
             { { "primary", next.primary.string() }, { "term", textOf(next.term) },
-                { "phase", next.phase == LeaderView::Phase::Led ? "led" : "changing" },
+                { "phase", next.phase == LeaderView::Phase::Settled ? "led" : "changing" },
                 { "source", std::string { nameOf(this->viewSource(now)) } } });
     this->published = next;
     this->lastPublished = now;
@@ -163,18 +163,18 @@
 void LeaderCoordinator::noteValidity(Instant now)
 {
     const auto current = this->view();
-    if (current.phase != LeaderView::Phase::Led) {
+    if (current.phase != LeaderView::Phase::Settled) {
         this->notedAsHeld = false;
         return;
     }
-    const bool holds = current.holds(now);
+    const bool isValid = current.isValid(now);
     const auto source = this->viewSource(now);
     const bool sameView = current.primary == this->published.primary && current.term == this->published.term
-        && this->published.phase == LeaderView::Phase::Led;
-    const bool ended = this->notedAsHeld && !holds;
-    const bool back = sameView && !this->notedAsHeld && holds;
+        && this->published.phase == LeaderView::Phase::Settled;
+    const bool ended = this->notedAsHeld && !isValid;
+    const bool back = sameView && !this->notedAsHeld && isValid;
     // Whether this VM or a sibling has read the store makes no difference to how far a view can be trusted.
-    const bool handedOver = sameView && holds && source != this->notedSource
+    const bool handedOver = sameView && isValid && source != this->notedSource
         && (source == ViewSource::Replica || this->notedSource == ViewSource::Replica);
     if (ended)
         ++this->counts.viewsEnded;
@@ -188,7 +188,7 @@
                 { "store_age_ms", ageText(this->known.askedAt, now) },
                 { "replica_age_ms", ageText(this->replicasVouchedAt, now) },
                 { "sibling_age_ms", ageText(this->siblingVouchedAt, now) } });
-    this->notedAsHeld = holds;
+    this->notedAsHeld = isValid;
     this->notedSource = source;
 }
 
--- a/src/pooling/caller_session.h
+++ b/src/pooling/caller_session.h
@@ -22,7 +22,7 @@
 /// A statement that an upstream has to run.
 struct Work {
     CallerQuery query;
-    WorkKind kind = WorkKind::Read;
+    StatementKind kind = StatementKind::Read;
     /// Only the primary will do.
     bool needsPrimary = false;
     /// The statement is the first of its transaction, which is opened on the upstream along with it.
@@ -39,7 +39,7 @@
     std::optional<VmName> handedTo;
     Instant handedAt;
     /// The home that has it now, or null.
-    [[nodiscard]] const VmName* home() const { return this->handedTo ? &*this->handedTo : nullptr; }
+    [[nodiscard]] const VmName* owner() const { return this->handedTo ? &*this->handedTo : nullptr; }
     /// The prepared statement that it runs, if it runs one.
     std::optional<PreparedShape> shape;
     /// When to send it again on the connection that holds its transaction.
@@ -68,7 +68,7 @@
     CallerId id {};
     bool started = false;
     /// It stands for a session of a sibling, which handed its statement to this VM.
-    bool guest = false;
+    bool remoteSession = false;
     std::string database;
     std::string key;
     TeamName team;
@@ -91,7 +91,7 @@
     /// The connection that holds the open transaction.
     std::optional<ConnectionId> pinned;
     /// The home that holds the open transaction in this VM's place, and the guest it holds it for.
-    std::optional<VmName> home;
+    std::optional<VmName> owner;
     CallerId guestAtHome {};
     bool transactionReadOnly = false;
     bool transactionWrote = false;
@@ -99,7 +99,7 @@
     bool abortUntold = false;
 
     /// What the session has written, and where.
-    std::optional<Progress> floor;
+    std::optional<Progress> requiredProgress;
     Instant floorAt;
     ServiceName floorService;
     Instant lastActive;
--- a/src/pooling/engine_answers.cpp
+++ b/src/pooling/engine_answers.cpp
@@ -42,7 +42,7 @@
         .upstream = connection.upstream, .sentAt = connection.sentAt, .restsOn = connection.restsOn
     };
     const bool notRun = reply.failure && meansNotRun(reply.failure->error);
-    const bool unproven = session.work->kind == WorkKind::Read && connection.outlivedView(reply);
+    const bool unproven = session.work->kind == StatementKind::Read && connection.outlivedView(reply);
     if (notRun)
         this->noteNotRun(connection, reply.failure->error);
     connection.user.reset();
@@ -54,9 +54,9 @@
     if (unproven)
         return this->retry(session, UpstreamName {}, Duration {}, StatementError::Busy);
     if (!notRun)
-        return this->conclude(session, std::move(reply), place, session.work->kind == WorkKind::Write);
+        return this->conclude(session, std::move(reply), place, session.work->kind == StatementKind::Write);
     const bool lags = reply.failure->error == StatementError::Lagging;
-    const auto pause = lags ? this->options.settings.laggingPause : this->options.settings.busyPause;
+    const auto pause = lags ? this->options.settings.laggingBackoff : this->options.settings.busyBackoff;
     this->retry(session, place.upstream, pause, reply.failure->error);
 }
 
@@ -72,16 +72,16 @@
             return this->failTransaction(connection, session, *reply.failure, reply.phase);
         // The upstream was full and the transaction stands as before.
         ++work.attempts;
-        work.resumeAt = this->now + this->options.settings.busyPause;
+        work.resumeAt = this->now + this->options.settings.busyBackoff;
         return;
     }
     // Nothing was committed yet, so nothing of the transaction is kept.
-    if (work.kind == WorkKind::Read && connection.outlivedView(reply))
+    if (work.kind == StatementKind::Read && connection.outlivedView(reply))
         return this->dropTransaction(session, "a newer primary leads");
     const RunPlace place {
         .upstream = connection.upstream, .sentAt = connection.sentAt, .restsOn = connection.restsOn
     };
-    if (work.kind == WorkKind::Commit) {
+    if (work.kind == StatementKind::Commit) {
         const bool wrote = session.transactionWrote;
         session.pinned.reset();
         session.phase = SessionPhase::Idle;
@@ -89,7 +89,7 @@
         this->release(connection);
         return this->conclude(session, std::move(reply), place, wrote);
     }
-    session.transactionWrote = session.transactionWrote || work.kind == WorkKind::Write;
+    session.transactionWrote = session.transactionWrote || work.kind == StatementKind::Write;
     connection.inTransaction = true;
     // While its caller thinks, the upstream has room for somebody else's statement.
     this->pump(this->group(connection.service));
@@ -100,7 +100,7 @@
     PooledConnection& connection, CallerSession& session, StatementFailure failure, SessionPhase phase)
 {
     // What fails inside a transaction takes all of it along.
-    const bool commits = session.work->kind == WorkKind::Commit;
+    const bool commits = session.work->kind == StatementKind::Commit;
     const bool dropped = meansNotRun(failure.error) && (!commits || phase != SessionPhase::InTransaction);
     this->logFailure(session, connection.upstream, failure);
     // A caller may send a write within its transaction for reading, which any upstream refuses.
@@ -151,7 +151,7 @@
     }
     this->logIfLate(session, place);
     auto& group = this->group(session.route.service);
-    if (session.work->kind == WorkKind::Read) {
+    if (session.work->kind == StatementKind::Read) {
         const bool atPrimary = group.view.primary == place.upstream;
         ++(atPrimary ? this->counters.readsOnPrimary : this->counters.readsOnReplicas);
     }
@@ -180,7 +180,7 @@
     const bool viewIsLate = view.term < held.term;
     const bool standsInView
         = view.term == held.term && view.primary == held.upstream && !group.isContradicted(this->now);
-    return view.phase == LeaderView::Phase::Led && group.newestTerm <= held.term
+    return view.phase == LeaderView::Phase::Settled && group.newestTerm <= held.term
         && (viewIsLate || standsInView);
 }
 
--- a/src/pooling/engine_callers.cpp
+++ b/src/pooling/engine_callers.cpp
@@ -25,9 +25,9 @@
     return { .failure = StatementFailure { .error = error, .text = std::move(text) } };
 }
 
-SessionPhase phaseAfterFailure(WorkKind kind) noexcept
+SessionPhase phaseAfterFailure(StatementKind kind) noexcept
 {
-    return kind == WorkKind::Commit ? SessionPhase::Idle : SessionPhase::FailedTransaction;
+    return kind == StatementKind::Commit ? SessionPhase::Idle : SessionPhase::FailedTransaction;
 }
 
 std::string millisecondsText(Duration duration)
@@ -71,7 +71,7 @@
     if (session == nullptr)
         return;
     session->lastActive = this->now;
-    if (!session->started || session->pending.size() >= this->options.settings.pipelined) {
+    if (!session->started || session->pending.size() >= this->options.settings.maxPipelinedStatements) {
         this->endCaller(id,
             StatementFailure { StatementError::Malformed,
                 session->started ? "too many statements ahead of their answers"
@@ -120,7 +120,7 @@
         return this->rollback(session);
     if (std::holds_alternative<CommitTransaction>(query.statement)) {
         session.arrivedAt = this->now;
-        return this->runData(session, std::move(query), WorkKind::Commit);
+        return this->runData(session, std::move(query), StatementKind::Commit);
     }
     const bool begins = std::holds_alternative<BeginTransaction>(query.statement);
     const auto* execute = std::get_if<ExecutePrepared>(&query.statement);
@@ -167,7 +167,7 @@
         return false;
     }
     if (route->service != session.route.service)
-        session.floor.reset();
+        session.requiredProgress.reset();
     session.route = *route;
     return true;
 }
@@ -243,7 +243,7 @@
     // once.
     const std::size_t spare = budget.share.rate() > 0 ? 1 : 0;
     const auto wanted = static_cast<std::uint32_t>(budget.waiting.size() + spare);
-    this->actions.emplace_back(AskForTokens { .team = team, .wanted = wanted });
+    this->actions.emplace_back(RequestTokens { .team = team, .wanted = wanted });
 }
 
 void SessionEngine::State::refuseOverRate(Budget& budget)
@@ -272,7 +272,7 @@
     const auto* execute = std::get_if<ExecutePrepared>(&query.statement);
     const bool writes = execute != nullptr ? session.state.prepared.at(execute->name).writes
                                            : std::holds_alternative<WriteItem>(query.statement);
-    this->runData(session, std::move(query), writes ? WorkKind::Write : WorkKind::Read);
+    this->runData(session, std::move(query), writes ? StatementKind::Write : StatementKind::Read);
 }
 
 void SessionEngine::State::begin(CallerSession& session, const BeginTransaction& wanted)
@@ -292,15 +292,15 @@
     this->answer(session, ownReply());
 }
 
-void SessionEngine::State::runData(CallerSession& session, CallerQuery query, WorkKind kind)
+void SessionEngine::State::runData(CallerSession& session, CallerQuery query, StatementKind kind)
 {
     const bool inTransaction = session.phase == SessionPhase::InTransaction;
     const bool primaryRoute = std::holds_alternative<PrimaryRoute>(session.route.freshness);
     const bool plainTransaction = inTransaction && !session.transactionReadOnly;
     Work work { .query = std::move(query),
         .kind = kind,
-        .needsPrimary = primaryRoute || plainTransaction || kind == WorkKind::Write,
-        .opensTransaction = inTransaction && !session.pinned && !session.home,
+        .needsPrimary = primaryRoute || plainTransaction || kind == StatementKind::Write,
+        .opensTransaction = inTransaction && !session.pinned && !session.owner,
         .arrivedAt = session.arrivedAt,
         .offerBy = session.arrivedAt + std::min(session.route.targetLatency, session.route.statementTimeout),
         .deadline = session.arrivedAt + session.route.statementTimeout };
@@ -331,7 +331,7 @@
 
 void SessionEngine::State::abortTransaction(CallerSession& session, const char* reason)
 {
-    if (session.guest)
+    if (session.remoteSession)
         return this->endGuest(session, reason);
     this->endTransaction(session);
     session.phase = SessionPhase::FailedTransaction;
@@ -370,14 +370,14 @@
 
 void SessionEngine::State::noteOwnWrite(CallerSession& session, const Progress& progress, Instant at)
 {
-    session.floor = progress;
+    session.requiredProgress = progress;
     session.floorAt = at;
     session.floorService = session.route.service;
 }
 
 void SessionEngine::State::answer(CallerSession& session, Reply reply)
 {
-    if (session.guest)
+    if (session.remoteSession)
         return this->answerGuest(session, std::move(reply));
     session.work.reset();
     session.held.reset();
@@ -395,7 +395,7 @@
     if (this->now < this->closeIdleFrom || !session.isIdle())
         return false;
     // A caller that has just connected is about to ask; it would take the end of its session for a failure.
-    if (!session.started && this->now < session.lastActive + this->options.settings.startPatience)
+    if (!session.started && this->now < session.lastActive + this->options.settings.sessionStartTimeout)
         return false;
     this->endCaller(session.id, std::nullopt);
     return true;
--- a/src/pooling/engine_connections.cpp
+++ b/src/pooling/engine_connections.cpp
@@ -40,14 +40,14 @@
     upstream.lastAnswer = this->now;
     upstream.failingSince.reset();
     if (error == StatementError::TooManyConnections)
-        upstream.keepToShareUntil = this->now + this->options.settings.borrowPause;
+        upstream.keepToShareUntil = this->now + this->options.settings.borrowBackoff;
     if (error == StatementError::WrongInstance)
         this->noteFailure(upstream);
     auto* session = connection->user ? this->findCaller(*connection->user) : nullptr;
     const auto name = connection->upstream;
     this->erase(id);
     if (session != nullptr)
-        this->retry(*session, name, this->options.settings.fullPause, error);
+        this->retry(*session, name, this->options.settings.connectionLimitBackoff, error);
 }
 
 void SessionEngine::State::lost(ConnectionId id)
@@ -89,7 +89,7 @@
     if (step == StepKind::Main)
         this->loseWork(*session, step, "the connection was lost");
     else
-        this->retry(*session, name, this->options.settings.downPause, StatementError::Busy);
+        this->retry(*session, name, this->options.settings.reconnectBackoff, StatementError::Busy);
 }
 
 void SessionEngine::State::loseWork(CallerSession& session, StepKind step, const char* reason)
@@ -100,8 +100,8 @@
         { { "id", work.query.id }, { "service", session.route.service.string() }, { "reason", reason },
             { "sent", step == StepKind::Main ? "yes" : "no" } });
     const bool inTransaction = session.phase == SessionPhase::InTransaction;
-    const bool mayHaveWritten = work.kind == WorkKind::Write || session.transactionWrote;
-    if (work.kind == WorkKind::Commit) {
+    const bool mayHaveWritten = work.kind == StatementKind::Write || session.transactionWrote;
+    if (work.kind == StatementKind::Commit) {
         session.phase = SessionPhase::Idle;
         // Without a write there was nothing to keep, whatever became of the commit.
         if (!mayHaveWritten)
@@ -115,7 +115,7 @@
         session.phase = SessionPhase::FailedTransaction;
         return this->answer(session, failureReply(StatementError::Aborted, reason));
     }
-    if (work.kind == WorkKind::Write) {
+    if (work.kind == StatementKind::Write) {
         ++this->counters.inDoubt;
         return this->answer(
             session, failureReply(StatementError::InDoubt, "the write may have taken effect"));
@@ -123,7 +123,8 @@
     // A read leaves nothing behind and may run again.
     if (this->now < work.deadline && work.attempts < this->options.settings.attempts)
         return this->retry(session, UpstreamName {}, Duration {}, StatementError::Busy);
-    this->refuse(session, StatementError::Busy, adviceText(reason, this->options.settings.overloadAdvice));
+    this->refuse(
+        session, StatementError::Busy, adviceText(reason, this->options.settings.overloadRetryAfter));
 }
 
 void SessionEngine::State::retry(
@@ -143,7 +144,7 @@
             { { "id", work.query.id }, { "upstream", avoided.string() },
                 { "error", std::to_string(static_cast<int>(reason)) } });
         this->refuse(session, StatementError::Busy,
-            adviceText("no upstream could run it", this->options.settings.overloadAdvice));
+            adviceText("no upstream could run it", this->options.settings.overloadRetryAfter));
         return;
     }
     this->dispatch(session);
@@ -206,7 +207,7 @@
         connection.restsOn = leads ? std::optional { group.view.term } : std::nullopt;
     if (auto* open = std::get_if<OpenTransaction>(&step.statement))
         open->after = position;
-    if (auto* pass = std::get_if<PassStatement>(&step.statement))
+    if (auto* pass = std::get_if<RelayStatement>(&step.statement))
         pass->after = position;
     connection.answerBy = std::max(session.work->deadline, this->now);
     return true;
@@ -225,7 +226,7 @@
     connection.steps.clear();
     connection.user.reset();
     this->release(connection);
-    this->retry(session, name, this->options.settings.busyPause, StatementError::Busy);
+    this->retry(session, name, this->options.settings.busyBackoff, StatementError::Busy);
 }
 
 bool SessionEngine::State::mayStillSend(const PooledConnection& connection, const CallerSession& session)
@@ -233,7 +234,7 @@
     const auto& group = this->group(connection.service);
     // Inside an open transaction the upstream itself refuses what its lost lead forbids, and a read sees what
     // the transaction saw when it was opened. A newer primary may have led then already.
-    if (session.pinned && session.work->kind == WorkKind::Read)
+    if (session.pinned && session.work->kind == StatementKind::Read)
         return !connection.restsOn || *connection.restsOn >= group.newestTerm;
     if (session.pinned)
         return group.isLedBy(connection.upstream, this->now) || session.transactionReadOnly;
@@ -300,7 +301,7 @@
         else
             this->close(connection);
         if (session != nullptr)
-            this->retry(*session, name, this->options.settings.busyPause, error);
+            this->retry(*session, name, this->options.settings.busyBackoff, error);
         return;
     }
     connection.inTransaction = true;
@@ -328,7 +329,7 @@
     connection.user.reset();
     connection.inTransaction = false;
     auto& upstream = this->upstreamOf(connection);
-    const bool beyondShare = upstream.connections.size() > this->shareOf(upstream);
+    const bool beyondShare = upstream.connections.size() > this->connectionShareOf(upstream);
     const bool mustShrink = beyondShare && this->now < upstream.keepToShareUntil;
     const bool unusable = !upstream.listed || upstream.entry.draining;
     const auto service = connection.service;
@@ -361,8 +362,8 @@
 void SessionEngine::State::noteFailure(UpstreamState& upstream)
 {
     upstream.downUntil = this->now
-        + doubled(
-            this->options.settings.downPause, upstream.failures, this->options.settings.downPauseAtMost);
+        + doubled(this->options.settings.reconnectBackoff, upstream.failures,
+            this->options.settings.maxReconnectBackoff);
     ++upstream.failures;
     if (!upstream.failingSince)
         upstream.failingSince = this->now;
@@ -382,27 +383,27 @@
         return;
     upstream.known = std::max(upstream.known, *reply.progress);
     upstream.lag = group.history.lagOf(upstream.known, this->now);
-    if (upstream.lag < this->options.settings.laggingPause) {
+    if (upstream.lag < this->options.settings.laggingBackoff) {
         upstream.laggingTimes = 0;
         upstream.laggingUntil = Instant::min();
     }
     this->noteTerm(group, this->sourceOf(connection), reply.progress->term);
     // The position speaks for the time at which the statement went out, if the view held then.
     if (group.isLedBy(connection.upstream, connection.sentAt) && reply.progress->term == group.view.term)
-        group.history.note({ .progress = *reply.progress, .seenAt = connection.sentAt });
+        group.history.record({ .progress = *reply.progress, .seenAt = connection.sentAt });
 }
 
 void SessionEngine::State::noteNotRun(PooledConnection& connection, StatementError error)
 {
     auto& upstream = this->upstreamOf(connection);
     if (error == StatementError::Busy) {
-        upstream.busyUntil = this->now + this->options.settings.busyPause;
+        upstream.busyUntil = this->now + this->options.settings.busyBackoff;
         upstream.limit.onFull(this->now);
     }
     if (error == StatementError::Lagging) {
         upstream.laggingUntil = this->now
-            + doubled(this->options.settings.laggingPause, upstream.laggingTimes,
-                this->options.settings.laggingPauseAtMost);
+            + doubled(this->options.settings.laggingBackoff, upstream.laggingTimes,
+                this->options.settings.maxLaggingBackoff);
         ++upstream.laggingTimes;
     }
     if (error == StatementError::ReadOnly)
@@ -437,7 +438,7 @@
         auto& connection = this->connections.at(static_cast<std::uint64_t>(id));
         const auto& upstream = this->upstreamOf(connection);
         const bool atHome = this->homesFor(this->connectionCapOf(connection.service)) != nullptr;
-        const auto kept = atHome ? settings.idleTimeAtHome : settings.idleTime;
+        const auto kept = atHome ? settings.ownerIdleTimeout : settings.idleTimeout;
         const bool spare = this->now - connection.idleSince >= kept;
         if (spare || !upstream.listed || upstream.entry.draining)
             this->close(connection);
--- a/src/pooling/engine_contradictions.cpp
+++ b/src/pooling/engine_contradictions.cpp
@@ -8,11 +8,11 @@
 {
     if (term > group.view.term)
         group.contradictedAt = this->now;
-    if (group.view.phase == LeaderView::Phase::Led && term > group.view.term)
+    if (group.view.phase == LeaderView::Phase::Settled && term > group.view.term)
         this->logContradiction(group, source, term, "later term");
     // No newer primary leads while a view holds as it should. This one did not, and the former primary may
     // have told positions since that lack commits of the next one.
-    if (group.view.holds(this->now) && term > group.view.term)
+    if (group.view.isValid(this->now) && term > group.view.term)
         group.history.clear();
     group.newestTerm = std::max(group.newestTerm, term);
 }
@@ -23,7 +23,7 @@
     const auto& view = group.view;
     // A refusal speaks of the view under which the refused statement was sent. Its upstream may have been
     // promoted since, and the present view be right.
-    if (view.phase != LeaderView::Phase::Led || view.primary != connection.upstream
+    if (view.phase != LeaderView::Phase::Settled || view.primary != connection.upstream
         || connection.restsOn != view.term)
         return;
     group.refusedLead = { .upstream = view.primary, .term = view.term };
@@ -49,7 +49,7 @@
             { "answer_term", std::to_string(static_cast<std::uint64_t>(term)) },
             { "view_primary", view.primary.string() },
             { "view_term", std::to_string(static_cast<std::uint64_t>(view.term)) },
-            { "view_left_ms", millisecondsText(view.validUntil - this->now) },
+            { "view_left_ms", millisecondsText(view.expiresAt - this->now) },
             { "at_view_primary", atPrimary ? "yes" : "no" }, { "reason", std::string { reason } } });
 }
 
--- a/src/pooling/engine_dispatch.cpp
+++ b/src/pooling/engine_dispatch.cpp
@@ -31,7 +31,7 @@
     auto& group = this->group(session.route.service);
     if (group.view.phase == LeaderView::Phase::Changing && this->isLeaderless(group, session)) {
         this->refuse(session, StatementError::Busy,
-            adviceText("the primary is being replaced", this->options.settings.changeAdvice));
+            adviceText("the primary is being replaced", this->options.settings.primaryChangeRetryAfter));
         return;
     }
     group.waiting.push_back(session.id);
@@ -84,7 +84,7 @@
     }
     if (own == nullptr || first->route.priority < own->route.priority)
         return;
-    if (own->work->arrivedAt > first->work->arrivedAt + this->options.settings.teamAffinity)
+    if (own->work->arrivedAt > first->work->arrivedAt + this->options.settings.teamAffinityWindow)
         return;
     std::erase(group.waiting, own->id);
     this->serveOn(connection, *own);
@@ -161,18 +161,18 @@
     const auto staleness = maxStalenessOf(session.route.freshness) - this->options.settings.stalenessMargin;
     if (staleness <= Duration {})
         return std::nullopt;
-    const auto fresh = group.history.covering(this->now - staleness);
+    const auto fresh = group.history.oldestCovering(this->now - staleness);
     if (!fresh)
         return std::nullopt;
     const NeededProgress needed { .progress = fresh->progress, .at = fresh->seenAt };
     const bool ownWrites = std::holds_alternative<ReadOwnWritesRoute>(session.route.freshness);
-    if (!ownWrites || !session.floor || session.floorService != session.route.service)
+    if (!ownWrites || !session.requiredProgress || session.floorService != session.route.service)
         return needed;
     // A write of an earlier term is either in the log of every upstream of the newer term or was dropped by
     // the promotion, so the position of the newer term stands for it.
-    if (session.floor->term < needed.progress.term || *session.floor <= needed.progress)
+    if (session.requiredProgress->term < needed.progress.term || *session.requiredProgress <= needed.progress)
         return needed;
-    return NeededProgress { .progress = *session.floor, .at = session.floorAt };
+    return NeededProgress { .progress = *session.requiredProgress, .at = session.floorAt };
 }
 
 double SessionEngine::State::costOf(const GroupState& group, const UpstreamState& upstream,
@@ -220,14 +220,14 @@
 std::size_t SessionEngine::State::allowedAt(const UpstreamState& upstream) const
 {
     const bool borrows = this->now >= upstream.keepToShareUntil;
-    return this->shareOf(upstream) + (borrows ? this->options.settings.borrowed : 0);
+    return this->connectionShareOf(upstream) + (borrows ? this->options.settings.maxBorrowedConnections : 0);
 }
 
-std::size_t SessionEngine::State::shareOf(const UpstreamState& upstream) const
+std::size_t SessionEngine::State::connectionShareOf(const UpstreamState& upstream) const
 {
     const auto cap = this->connectionCapOf(upstream.entry.service);
-    if (auto* homes = this->homesFor(cap))
-        return homes->shareOf(upstream.entry.service, cap);
+    if (auto* owners = this->homesFor(cap))
+        return owners->connectionShareOf(upstream.entry.service, cap);
     if (this->place.vms == 0)
         return 1;
     const auto vms = this->place.vms;
@@ -247,7 +247,7 @@
     // When all VMs lose power, an upstream takes what they had open for taken for seconds more. The half that
     // stays free in quiet times is what the restarted VMs serve their callers on meanwhile; without it they
     // are refused for want of connections.
-    return std::max<std::size_t>(this->shareOf(upstream) / 2, 1);
+    return std::max<std::size_t>(this->connectionShareOf(upstream) / 2, 1);
 }
 
 void SessionEngine::State::openFor(GroupState& group, UpstreamState& upstream, CallerSession& session)
@@ -281,14 +281,14 @@
     connection.phase = PooledConnection::Phase::Working;
     connection.user = session.id;
     work.connection = connection.id;
-    for (auto& step : connection.state.match(session.state, work.shape ? &*work.shape : nullptr)) {
+    for (auto& step : connection.state.stepsToMatch(session.state, work.shape ? &*work.shape : nullptr)) {
         auto statement = std::visit([](auto& what) { return UpstreamStatement { std::move(what) }; }, step);
         connection.steps.push_back({ .kind = StepKind::Setup, .statement = std::move(statement) });
     }
     if (work.opensTransaction)
         connection.steps.push_back({ .kind = StepKind::Open,
             .statement = OpenTransaction { .readOnly = session.transactionReadOnly } });
-    PassStatement main { .id = work.query.id, .text = work.query.text };
+    RelayStatement main { .id = work.query.id, .text = work.query.text };
     if (const auto* execute = std::get_if<ExecutePrepared>(&work.query.statement);
         execute != nullptr && work.shape)
         main.execute = ExecutePrepared { .name = connection.state.nameOf(*work.shape),
@@ -320,10 +320,10 @@
         std::erase(group.waiting, id);
         if (leaderless)
             this->refuse(*session, StatementError::Busy,
-                adviceText("no primary is known to lead", this->options.settings.changeAdvice));
+                adviceText("no primary is known to lead", this->options.settings.primaryChangeRetryAfter));
         else
             this->refuse(*session, StatementError::Busy,
-                adviceText("all connections are taken", this->options.settings.overloadAdvice));
+                adviceText("all connections are taken", this->options.settings.overloadRetryAfter));
     }
 }
 
--- a/src/pooling/engine_homes.cpp
+++ b/src/pooling/engine_homes.cpp
@@ -18,12 +18,12 @@
 
 void SessionEngine::State::dispatch(CallerSession& session)
 {
-    if (session.home && this->homeHealth.isOutOfReach(*session.home))
+    if (session.owner && this->homeHealth.isUnreachable(*session.owner))
         return this->dropTransaction(session, "the home of the transaction cannot be reached");
-    if (session.home)
-        return this->handOn(session, *session.home);
-    if (const auto home = this->homeFor(session))
-        return this->handOn(session, *home);
+    if (session.owner)
+        return this->handOn(session, *session.owner);
+    if (const auto owner = this->homeFor(session))
+        return this->handOn(session, *owner);
     this->enqueue(session);
 }
 
@@ -33,26 +33,26 @@
     return cap == this->routes->connectionCaps.end() ? 1 : cap->second;
 }
 
-GroupHomes* SessionEngine::State::homesFor(std::uint32_t connectionCap) const
+ServiceOwners* SessionEngine::State::homesFor(std::uint32_t connectionCap) const
 {
     // A hop to a home costs time and bytes between availability zones, and a home that dies takes along what
     // all VMs had there. Both are paid only where this VM could not serve its callers by itself.
-    const bool alone = this->ownPartOf(connectionCap) >= this->options.settings.ownPartSuffices;
-    return alone ? nullptr : this->place.homes.get();
+    const bool alone = this->ownPartOf(connectionCap) >= this->options.settings.minShareWithoutOwners;
+    return alone ? nullptr : this->place.owners.get();
 }
 
 std::optional<VmName> SessionEngine::State::homeFor(const CallerSession& session) const
 {
     const auto& service = session.route.service;
     const auto cap = this->connectionCapOf(service);
-    auto* homes = session.guest ? nullptr : this->homesFor(cap);
-    if (homes == nullptr)
+    auto* owners = session.remoteSession ? nullptr : this->homesFor(cap);
+    if (owners == nullptr)
         return std::nullopt;
     std::size_t tried = 0;
-    for (const auto& vm : homes->orderFor(service, session.team, cap)) {
-        if (vm == homes->self())
+    for (const auto& vm : owners->rankedOwners(service, session.team, cap)) {
+        if (vm == owners->self())
             return std::nullopt;
-        if (this->homeHealth.isOutOfReach(vm))
+        if (this->homeHealth.isUnreachable(vm))
             continue;
         if (tried++ == homesTried)
             return std::nullopt;
@@ -62,16 +62,16 @@
     return std::nullopt;
 }
 
-void SessionEngine::State::handOn(CallerSession& session, const VmName& home)
+void SessionEngine::State::handOn(CallerSession& session, const VmName& owner)
 {
     auto& work = *session.work;
-    work.handedTo = home;
+    work.handedTo = owner;
     work.handedAt = this->now;
-    if (!session.home)
+    if (!session.owner)
         session.guestAtHome = CallerId { this->guestNumbers() | guestBit };
-    HandedWork handed;
-    handed.guest = session.guestAtHome;
-    handed.continues = session.home.has_value();
+    ForwardedStatement handed;
+    handed.remoteSession = session.guestAtHome;
+    handed.continuesTransaction = session.owner.has_value();
     handed.query = work.query;
     handed.kind = work.kind;
     handed.team = session.team;
@@ -82,47 +82,47 @@
         handed.state.prepared.emplace(execute->name, *work.shape);
     handed.inTransaction = session.phase == SessionPhase::InTransaction;
     handed.readOnly = session.transactionReadOnly;
-    if (session.floor && session.floorService == session.route.service) {
-        handed.floor = session.floor;
-        handed.floorAge = this->now - session.floorAt;
+    if (session.requiredProgress && session.floorService == session.route.service) {
+        handed.requiredProgress = session.requiredProgress;
+        handed.requiredProgressAge = this->now - session.floorAt;
     }
     handed.waited = this->now - work.arrivedAt;
-    ++this->counters.handedOn;
-    const auto timeLimit = work.deadline - this->now + this->options.settings.homeGrace;
-    this->actions.emplace_back(
-        HandWork { .caller = session.id, .home = home, .work = std::move(handed), .timeLimit = timeLimit });
+    ++this->counters.forwarded;
+    const auto timeLimit = work.deadline - this->now + this->options.settings.ownerReplyGrace;
+    this->actions.emplace_back(ForwardStatement {
+        .caller = session.id, .owner = owner, .work = std::move(handed), .timeLimit = timeLimit });
 }
 
-void SessionEngine::State::handedWorkAnswered(CallerId caller, CallerId guest, Reply reply)
+void SessionEngine::State::forwardedStatementAnswered(CallerId caller, CallerId remoteSession, Reply reply)
 {
     auto* session = this->findCaller(caller);
-    const auto home = session != nullptr && session->work ? session->work->handedTo : std::nullopt;
-    if (!home)
+    const auto owner = session != nullptr && session->work ? session->work->handedTo : std::nullopt;
+    if (!owner)
         return;
     // What a home answers to work that was given up is no answer to the work that followed.
-    if (guest != session->guestAtHome)
+    if (remoteSession != session->guestAtHome)
         return;
-    this->homeHealth.answered(*home, this->now);
+    this->homeHealth.answered(*owner, this->now);
     const auto kind = session->work->kind;
     const bool inTransaction = session->phase == SessionPhase::InTransaction;
     if (reply.progress)
         this->noteTerm(this->group(session->route.service),
-            { .source = home->view(), .statementId = session->work->query.id }, reply.progress->term);
+            { .source = owner->view(), .statementId = session->work->query.id }, reply.progress->term);
     if (reply.failure) {
         if (meansNotRun(reply.failure->error))
             this->giveBackCharge(*session);
         session->charged = false;
-        this->logFailure(*session, UpstreamName { home->string() }, *reply.failure);
+        this->logFailure(*session, UpstreamName { owner->string() }, *reply.failure);
         if (inTransaction) {
             // The home has dropped the transaction with the statement that failed.
-            session->home.reset();
+            session->owner.reset();
             session->phase = phaseAfterFailure(kind);
         }
         return this->answer(*session, std::move(reply));
     }
     session->charged = false;
-    const bool keeps
-        = inTransaction ? kind == WorkKind::Commit && session->transactionWrote : kind == WorkKind::Write;
+    const bool keeps = inTransaction ? kind == StatementKind::Commit && session->transactionWrote
+                                     : kind == StatementKind::Write;
     if (keeps && reply.progress)
         noteOwnWrite(*session, *reply.progress, session->work->handedAt);
     if (inTransaction)
@@ -132,101 +132,103 @@
 
 void SessionEngine::State::finishHandedInTransaction(CallerSession& session)
 {
-    if (session.work->kind == WorkKind::Commit) {
-        session.home.reset();
+    if (session.work->kind == StatementKind::Commit) {
+        session.owner.reset();
         session.phase = SessionPhase::Idle;
         return;
     }
-    session.home = session.work->handedTo;
-    session.transactionWrote = session.transactionWrote || session.work->kind == WorkKind::Write;
+    session.owner = session.work->handedTo;
+    session.transactionWrote = session.transactionWrote || session.work->kind == StatementKind::Write;
 }
 
 void SessionEngine::State::askSilentHomes()
 {
     std::map<VmName, Instant> oldest;
     for (const auto& [id, session] : this->callers) {
-        const auto* home = session.work ? session.work->home() : nullptr;
-        if (home == nullptr)
+        const auto* owner = session.work ? session.work->owner() : nullptr;
+        if (owner == nullptr)
             continue;
-        auto& since = oldest.try_emplace(*home, session.work->handedAt).first->second;
+        auto& since = oldest.try_emplace(*owner, session.work->handedAt).first->second;
         since = std::min(since, session.work->handedAt);
     }
-    this->homeHealth.noteWaiting(oldest);
-    for (auto& home : this->homeHealth.due(this->now))
-        this->actions.emplace_back(AskHome { std::move(home) });
+    this->homeHealth.recordWaiting(oldest);
+    for (auto& owner : this->homeHealth.beginDueChecks(this->now))
+        this->actions.emplace_back(CheckOwnerLiveness { std::move(owner) });
 }
 
-void SessionEngine::State::homeAsked(const VmName& home, bool gaveSign)
+void SessionEngine::State::ownerLivenessChecked(const VmName& owner, bool alive)
 {
-    const bool wasOutOfReach = this->homeHealth.isOutOfReach(home);
-    const bool newlyOutOfReach = this->homeHealth.askEnded(home, gaveSign, this->now);
-    if (wasOutOfReach && gaveSign)
-        this->log("home_back", { { "vm", home.string() } });
+    const bool wasOutOfReach = this->homeHealth.isUnreachable(owner);
+    const bool newlyOutOfReach = this->homeHealth.checkEnded(owner, alive, this->now);
+    if (wasOutOfReach && alive)
+        this->log("home_back", { { "vm", owner.string() } });
     if (!newlyOutOfReach)
         return;
-    this->log("home_out_of_reach", { { "vm", home.string() } });
+    this->log("home_out_of_reach", { { "vm", owner.string() } });
 }
 
-void SessionEngine::State::handedWorkFailed(CallerId caller, CallerId guest, HandFailure failure)
+void SessionEngine::State::forwardingFailed(CallerId caller, CallerId remoteSession, ForwardFailure failure)
 {
     auto* session = this->findCaller(caller);
-    const auto home = session != nullptr && session->work ? session->work->handedTo : std::nullopt;
-    if (!home || guest != session->guestAtHome)
+    const auto owner = session != nullptr && session->work ? session->work->handedTo : std::nullopt;
+    if (!owner || remoteSession != session->guestAtHome)
         return;
     session->work->handedTo.reset();
-    this->pausedHomes.add(*home, this->now + this->options.settings.homePause);
+    this->pausedHomes.add(*owner, this->now + this->options.settings.ownerBackoff);
     this->log("home_failed",
-        { { "id", session->work->query.id }, { "vm", home->string() },
+        { { "id", session->work->query.id }, { "vm", owner->string() },
             { "service", session->route.service.string() },
-            { "taken", failure == HandFailure::Lost ? "perhaps" : "no" } });
-    if (failure == HandFailure::Lost) {
-        const bool commits = session->work->kind == WorkKind::Commit;
+            { "taken", failure == ForwardFailure::Lost ? "perhaps" : "no" } });
+    if (failure == ForwardFailure::Lost) {
+        const bool commits = session->work->kind == StatementKind::Commit;
         if (commits)
-            session->home.reset();
+            session->owner.reset();
         else if (session->phase == SessionPhase::InTransaction)
-            session->home = home;
+            session->owner = owner;
         return this->loseWork(*session, StepKind::Main, "the home's answer was lost");
     }
-    if (session->home)
+    if (session->owner)
         return this->dropTransaction(*session, "the home of the transaction cannot be reached");
     this->dispatch(*session);
 }
 
 void SessionEngine::State::letGuestGo(CallerSession& session)
 {
-    const auto home = session.home ? session.home
-        : session.work             ? session.work->handedTo
-                                   : std::optional<VmName> {};
-    session.home.reset();
-    if (home && session.phase == SessionPhase::InTransaction)
-        this->actions.emplace_back(LetGuestGo { .home = *home, .guest = session.guestAtHome });
+    const auto owner = session.owner ? session.owner
+        : session.work               ? session.work->handedTo
+                                     : std::optional<VmName> {};
+    session.owner.reset();
+    if (owner && session.phase == SessionPhase::InTransaction)
+        this->actions.emplace_back(
+            ReleaseRemoteSession { .owner = *owner, .remoteSession = session.guestAtHome });
 }
 
-void SessionEngine::State::guestAsked(HandedWork work)
+void SessionEngine::State::forwardedStatementReceived(ForwardedStatement work)
 {
-    const auto* known = this->findCaller(work.guest);
+    const auto* known = this->findCaller(work.remoteSession);
     const bool open = known != nullptr && known->phase == SessionPhase::InTransaction && !known->work;
-    if (work.continues != open) {
+    if (work.continuesTransaction != open) {
         auto gone = failureReply(StatementError::Aborted, "the transaction is gone");
-        this->actions.emplace_back(AnswerGuest { .guest = work.guest, .reply = std::move(gone) });
+        this->actions.emplace_back(
+            AnswerRemoteSession { .remoteSession = work.remoteSession, .reply = std::move(gone) });
         return;
     }
-    ++this->counters.takenForSiblings;
-    auto& session = this->callers[static_cast<std::uint64_t>(work.guest)];
-    session.id = work.guest;
-    session.guest = true;
+    ++this->counters.acceptedFromSiblings;
+    auto& session = this->callers[static_cast<std::uint64_t>(work.remoteSession)];
+    session.id = work.remoteSession;
+    session.remoteSession = true;
     session.started = true;
     session.team = std::move(work.team);
     session.route = std::move(work.route);
     session.state = std::move(work.state);
     session.phase = work.inTransaction ? SessionPhase::InTransaction : SessionPhase::Idle;
     session.transactionReadOnly = work.readOnly;
-    session.floor.reset();
-    if (work.floor) {
-        noteOwnWrite(session, *work.floor, this->now - work.floorAge);
+    session.requiredProgress.reset();
+    if (work.requiredProgress) {
+        noteOwnWrite(session, *work.requiredProgress, this->now - work.requiredProgressAge);
         // Where it was written, a primary of that term leads.
         this->noteTerm(this->group(session.route.service),
-            { .source = "a sibling", .statementId = work.query.id }, work.floor->term);
+            { .source = "a sibling", .statementId = work.query.id }, work.requiredProgress->term);
     }
     session.arrivedAt = this->now - work.waited;
     session.lastActive = this->now;
@@ -240,7 +242,8 @@
     session.held.reset();
     session.lastActive = this->now;
     reply.phase = session.phase;
-    this->actions.emplace_back(AnswerGuest { .guest = session.id, .reply = std::move(reply) });
+    this->actions.emplace_back(
+        AnswerRemoteSession { .remoteSession = session.id, .reply = std::move(reply) });
     // Only an open transaction binds the sibling's next statement to this VM.
     if (session.phase != SessionPhase::InTransaction)
         this->leave(session.id);
--- a/src/pooling/engine_state.h
+++ b/src/pooling/engine_state.h
@@ -3,7 +3,7 @@
 #include "caller_session.h"
 #include "pooled_connection.h"
 
-#include <cyclamendrift/pooling/home_health.h>
+#include <cyclamendrift/pooling/owner_health.h>
 #include <cyclamendrift/pooling/session_engine.h>
 
 #include <cstdint>
@@ -83,10 +83,10 @@
     void refuseOverdue(GroupState& group);
 
     // engine_homes
-    void guestAsked(HandedWork work);
-    void handedWorkAnswered(CallerId caller, CallerId guest, Reply reply);
-    void handedWorkFailed(CallerId caller, CallerId guest, HandFailure failure);
-    void homeAsked(const VmName& home, bool gaveSign);
+    void forwardedStatementReceived(ForwardedStatement work);
+    void forwardedStatementAnswered(CallerId caller, CallerId remoteSession, Reply reply);
+    void forwardingFailed(CallerId caller, CallerId remoteSession, ForwardFailure failure);
+    void ownerLivenessChecked(const VmName& owner, bool alive);
     /// Asks homes for a sign of life that have not answered for a while.
     void askSilentHomes();
     /// Ends a guest whose transaction is gone; a later statement of it is told so.
@@ -109,7 +109,7 @@
     [[nodiscard]] PooledConnection* findConnection(ConnectionId id);
     [[nodiscard]] GroupState& group(const ServiceName& name);
     [[nodiscard]] UpstreamState& upstreamOf(const PooledConnection& connection);
-    [[nodiscard]] std::size_t shareOf(const UpstreamState& upstream) const;
+    [[nodiscard]] std::size_t connectionShareOf(const UpstreamState& upstream) const;
     void log(std::string_view event, std::vector<std::pair<std::string, std::string>> fields);
 
     Options options;
@@ -123,7 +123,7 @@
     FleetPlace place;
     /// Homes that did not answer.
     PassedOver<VmName> pausedHomes;
-    HomeHealth homeHealth;
+    OwnerHealth homeHealth;
     std::mt19937_64 guestNumbers;
     EngineCounters counters;
     std::uint64_t lastConnection = 0;
@@ -146,20 +146,20 @@
     void runOperation(CallerSession& session, CallerQuery query);
     void begin(CallerSession& session, const BeginTransaction& wanted);
     void rollback(CallerSession& session);
-    void runData(CallerSession& session, CallerQuery query, WorkKind kind);
+    void runData(CallerSession& session, CallerQuery query, StatementKind kind);
     void endTransaction(CallerSession& session);
 
     // engine_homes
     /// Has the session's work run where the connections of its service are.
     void dispatch(CallerSession& session);
     [[nodiscard]] std::optional<VmName> homeFor(const CallerSession& session) const;
-    void handOn(CallerSession& session, const VmName& home);
+    void handOn(CallerSession& session, const VmName& owner);
     void letGuestGo(CallerSession& session);
     void finishHandedInTransaction(CallerSession& session);
     void answerGuest(CallerSession& session, Reply reply);
     /// The homes of services whose upstreams bear so many connections each; null where every VM serves its
     /// callers by itself.
-    [[nodiscard]] GroupHomes* homesFor(std::uint32_t connectionCap) const;
+    [[nodiscard]] ServiceOwners* homesFor(std::uint32_t connectionCap) const;
     [[nodiscard]] std::uint32_t connectionCapOf(const ServiceName& service) const;
 
     // engine_dispatch
@@ -234,7 +234,7 @@
 [[nodiscard]] Reply failureReply(StatementError error, std::string text);
 
 /// How a session goes on after work of that kind failed inside its transaction: a commit ends it either way.
-[[nodiscard]] SessionPhase phaseAfterFailure(WorkKind kind) noexcept;
+[[nodiscard]] SessionPhase phaseAfterFailure(StatementKind kind) noexcept;
 
 /// Whole milliseconds, as the log has them.
 [[nodiscard]] std::string millisecondsText(Duration duration);
--- a/src/pooling/home_health.cpp
+++ b/src/pooling/owner_health.cpp
@@ -1,4 +1,4 @@
-#include <cyclamendrift/pooling/home_health.h>
+#include <cyclamendrift/pooling/owner_health.h>
 
 #include <algorithm>
 
@@ -15,31 +15,31 @@
 
 } // namespace
 
-void HomeHealth::noteWaiting(const std::map<VmName, Instant>& oldest)
+void OwnerHealth::recordWaiting(const std::map<VmName, Instant>& oldest)
 {
-    for (auto& [home, state] : this->homes)
+    for (auto& [owner, state] : this->owners)
         state.waitingSince = Instant::max();
-    for (const auto& [home, since] : oldest)
-        this->homes[home].waitingSince = since;
-    std::erase_if(this->homes, [](const auto& item) {
+    for (const auto& [owner, since] : oldest)
+        this->owners[owner].waitingSince = since;
+    std::erase_if(this->owners, [](const auto& item) {
         const auto& state = item.second;
         return state.waitingSince == Instant::max() && !state.asking && !state.outOfReach;
     });
 }
 
-void HomeHealth::answered(const VmName& home, Instant now)
+void OwnerHealth::answered(const VmName& owner, Instant now)
 {
-    const auto match = this->homes.find(home);
-    if (match == this->homes.end())
+    const auto match = this->owners.find(owner);
+    if (match == this->owners.end())
         return;
     match->second.lastHeard = now;
     match->second.outOfReach = false;
 }
 
-std::vector<VmName> HomeHealth::due(Instant now)
+std::vector<VmName> OwnerHealth::beginDueChecks(Instant now)
 {
     std::vector<VmName> asked;
-    for (auto& [home, state] : this->homes) {
+    for (auto& [owner, state] : this->owners) {
         if (state.outOfReach && now >= state.lostAt + forgottenAfter)
             state.outOfReach = false;
         const bool waits = state.waitingSince != Instant::max()
@@ -47,20 +47,20 @@
         if (state.asking || now < state.askAgainAt || (!waits && !state.outOfReach))
             continue;
         state.asking = true;
-        asked.push_back(home);
+        asked.push_back(owner);
     }
     return asked;
 }
 
-bool HomeHealth::askEnded(const VmName& home, bool gaveSign, Instant now)
+bool OwnerHealth::checkEnded(const VmName& owner, bool alive, Instant now)
 {
-    const auto match = this->homes.find(home);
-    if (match == this->homes.end())
+    const auto match = this->owners.find(owner);
+    if (match == this->owners.end())
         return false;
     auto& state = match->second;
     state.asking = false;
     state.askAgainAt = now + retryPause;
-    if (gaveSign) {
+    if (alive) {
         state.lastHeard = now;
         state.outOfReach = false;
         return false;
@@ -72,10 +72,10 @@
     return true;
 }
 
-bool HomeHealth::isOutOfReach(const VmName& home) const
+bool OwnerHealth::isUnreachable(const VmName& owner) const
 {
-    const auto match = this->homes.find(home);
-    return match != this->homes.end() && match->second.outOfReach;
+    const auto match = this->owners.find(owner);
+    return match != this->owners.end() && match->second.outOfReach;
 }
 
 } // namespace cyclamendrift
--- a/src/pooling/pooled_connection.h
+++ b/src/pooling/pooled_connection.h
@@ -135,7 +135,7 @@
     /// True when the view may be acted on.
     [[nodiscard]] bool hasLeader(Instant now) const noexcept
     {
-        return this->view.holds(now) && !this->isContradicted(now);
+        return this->view.isValid(now) && !this->isContradicted(now);
     }
 
     /// True when the view may be acted on and names this upstream.
--- a/src/pooling/progress_history.cpp
+++ b/src/pooling/progress_history.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-void ProgressHistory::note(const Observation& observation)
+void ProgressHistory::record(const Observation& observation)
 {
     if (!this->observations.empty() && observation.progress.term < this->observations.back().progress.term)
         return;
@@ -26,7 +26,7 @@
         this->observations.pop_front();
 }
 
-std::optional<ProgressHistory::Observation> ProgressHistory::covering(Instant instant) const
+std::optional<ProgressHistory::Observation> ProgressHistory::oldestCovering(Instant instant) const
 {
     const auto fresh = std::lower_bound(this->observations.begin(), this->observations.end(), instant,
         [](const Observation& observation, Instant wanted) { return observation.seenAt < wanted; });
--- a/src/pooling/group_homes.cpp
+++ b/src/pooling/service_owners.cpp
@@ -1,4 +1,4 @@
-#include <cyclamendrift/pooling/group_homes.h>
+#include <cyclamendrift/pooling/service_owners.h>
 
 #include <cyclamendrift/membership/home_map.h>
 
@@ -57,30 +57,30 @@
 
 } // namespace
 
-GroupHomes::GroupHomes(VmName self, const std::map<VmName, VmStrength>& listed)
+ServiceOwners::ServiceOwners(VmName self, const std::map<VmName, VmStrength>& listed)
     : own(std::move(self))
     , candidates(strongestOf(listed))
 {
 }
 
-bool GroupHomes::areUseful(std::size_t vms) noexcept { return vms > leastHomes; }
+bool ServiceOwners::areUseful(std::size_t vms) noexcept { return vms > leastHomes; }
 
-GroupHomes::Choice& GroupHomes::choiceFor(const ServiceName& service, std::uint32_t connectionCap)
+ServiceOwners::Choice& ServiceOwners::choiceFor(const ServiceName& service, std::uint32_t connectionCap)
 {
     auto& choice = this->choices[service];
-    if (choice.homes.empty() || choice.connectionCap != connectionCap) {
-        choice = { .connectionCap = connectionCap, .homes = this->choose(service, connectionCap) };
-        choice.share = this->shareAmong(choice.homes, connectionCap);
+    if (choice.owners.empty() || choice.connectionCap != connectionCap) {
+        choice = { .connectionCap = connectionCap, .owners = this->choose(service, connectionCap) };
+        choice.share = this->shareAmong(choice.owners, connectionCap);
     }
     return choice;
 }
 
-const std::vector<VmName>& GroupHomes::of(const ServiceName& service, std::uint32_t connectionCap)
+const std::vector<VmName>& ServiceOwners::ownersOf(const ServiceName& service, std::uint32_t connectionCap)
 {
-    return this->choiceFor(service, connectionCap).homes;
+    return this->choiceFor(service, connectionCap).owners;
 }
 
-std::vector<VmName> GroupHomes::choose(const ServiceName& service, std::uint32_t connectionCap) const
+std::vector<VmName> ServiceOwners::choose(const ServiceName& service, std::uint32_t connectionCap) const
 {
     const auto subject = "homes/" + service.string();
     std::vector<std::pair<double, VmName>> ranked;
@@ -90,36 +90,36 @@
     const auto count = std::min(ranked.size(), homesFor(connectionCap));
     std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(count), ranked.end(),
         [](const auto& left, const auto& right) { return left > right; });
-    std::vector<VmName> homes;
-    homes.reserve(count);
+    std::vector<VmName> owners;
+    owners.reserve(count);
     for (std::size_t index = 0; index < count; ++index)
-        homes.push_back(std::move(ranked[index].second));
-    return homes;
+        owners.push_back(std::move(ranked[index].second));
+    return owners;
 }
 
-const std::vector<VmName>& GroupHomes::orderFor(
+const std::vector<VmName>& ServiceOwners::rankedOwners(
     const ServiceName& service, const TeamName& team, std::uint32_t connectionCap)
 {
     auto& choice = this->choiceFor(service, connectionCap);
     auto& order = choice.orders[team];
     if (!order.empty())
         return order;
-    order = choice.homes;
+    order = choice.owners;
     rankByRendezvous(order, "home/" + service.string() + '/' + team.string());
     return order;
 }
 
-std::size_t GroupHomes::shareOf(const ServiceName& service, std::uint32_t connectionCap)
+std::size_t ServiceOwners::connectionShareOf(const ServiceName& service, std::uint32_t connectionCap)
 {
     return this->choiceFor(service, connectionCap).share;
 }
 
-std::size_t GroupHomes::shareAmong(const std::vector<VmName>& homes, std::uint32_t connectionCap) const
+std::size_t ServiceOwners::shareAmong(const std::vector<VmName>& owners, std::uint32_t connectionCap) const
 {
-    if (std::find(homes.begin(), homes.end(), this->own) == homes.end())
+    if (std::find(owners.begin(), owners.end(), this->own) == owners.end())
         return 1;
     const auto usable = connectionCap - connectionCap / leftToOthers;
-    return std::max<std::size_t>(usable / homes.size(), 1);
+    return std::max<std::size_t>(usable / owners.size(), 1);
 }
 
 } // namespace cyclamendrift
--- a/src/pooling/session_engine.cpp
+++ b/src/pooling/session_engine.cpp
@@ -39,7 +39,7 @@
 void SessionEngine::State::log(
     std::string_view event, std::vector<std::pair<std::string, std::string>> fields)
 {
-    this->actions.emplace_back(LogDecision { .event = std::string { event }, .fields = std::move(fields) });
+    this->actions.emplace_back(LogEvent { .event = std::string { event }, .fields = std::move(fields) });
 }
 
 void SessionEngine::callerConnected(CallerId caller, Instant now)
@@ -50,19 +50,19 @@
     session.lastActive = now;
 }
 
-void SessionEngine::callerStarted(CallerId caller, const SessionStart& start, Instant now)
+void SessionEngine::callerStartedSession(CallerId caller, const SessionStart& start, Instant now)
 {
     this->state->now = now;
     this->state->startCaller(caller, start);
 }
 
-void SessionEngine::callerAsked(CallerId caller, CallerQuery query, Instant now)
+void SessionEngine::callerSentStatement(CallerId caller, CallerQuery query, Instant now)
 {
     this->state->now = now;
     this->state->ask(caller, std::move(query));
 }
 
-void SessionEngine::callerLeft(CallerId caller, Instant now)
+void SessionEngine::callerDisconnected(CallerId caller, Instant now)
 {
     this->state->now = now;
     this->state->leave(caller);
@@ -92,34 +92,36 @@
     this->state->replied(connection, std::move(reply));
 }
 
-void SessionEngine::guestAsked(HandedWork work, Instant now)
+void SessionEngine::forwardedStatementReceived(ForwardedStatement work, Instant now)
 {
     this->state->now = now;
-    this->state->guestAsked(std::move(work));
+    this->state->forwardedStatementReceived(std::move(work));
 }
 
-void SessionEngine::guestLeft(CallerId guest, Instant now)
+void SessionEngine::remoteSessionReleased(CallerId remoteSession, Instant now)
 {
     this->state->now = now;
-    this->state->leave(guest);
+    this->state->leave(remoteSession);
 }
 
-void SessionEngine::handedWorkAnswered(CallerId caller, CallerId guest, Reply reply, Instant now)
+void SessionEngine::forwardedStatementAnswered(
+    CallerId caller, CallerId remoteSession, Reply reply, Instant now)
 {
     this->state->now = now;
-    this->state->handedWorkAnswered(caller, guest, std::move(reply));
+    this->state->forwardedStatementAnswered(caller, remoteSession, std::move(reply));
 }
 
-void SessionEngine::handedWorkFailed(CallerId caller, CallerId guest, HandFailure failure, Instant now)
+void SessionEngine::forwardingFailed(
+    CallerId caller, CallerId remoteSession, ForwardFailure failure, Instant now)
 {
     this->state->now = now;
-    this->state->handedWorkFailed(caller, guest, failure);
+    this->state->forwardingFailed(caller, remoteSession, failure);
 }
 
-void SessionEngine::homeAsked(const VmName& home, bool gaveSign, Instant now)
+void SessionEngine::ownerLivenessChecked(const VmName& owner, bool alive, Instant now)
 {
     this->state->now = now;
-    this->state->homeAsked(home, gaveSign);
+    this->state->ownerLivenessChecked(owner, alive);
 }
 
 void SessionEngine::setRoutes(std::shared_ptr<const RouteTable> routes, Instant now)
@@ -194,7 +196,7 @@
     budget.asking = false;
     budget.share.receive(given, now);
     if (given == 0)
-        budget.askAgainAt = now + own.options.settings.askPause;
+        budget.askAgainAt = now + own.options.settings.tokenRequestBackoff;
     own.admitWaiting(team, budget);
 }
 
@@ -248,7 +250,7 @@
         return this->releaseHeld(session);
     if (session.work)
         return this->resumeIfDue(session);
-    const bool tooLong = this->now >= session.lastActive + this->routes->transactionIdleTime;
+    const bool tooLong = this->now >= session.lastActive + this->routes->maxTransactionIdleTime;
     const bool stopping = this->now >= this->abortAt;
     if (session.phase == SessionPhase::InTransaction && (tooLong || stopping))
         return this->abortTransaction(session, tooLong ? "the caller rested too long" : "this VM stops");
@@ -265,9 +267,9 @@
 
 std::vector<EngineAction> SessionEngine::takeActions() { return std::exchange(this->state->actions, {}); }
 
-std::vector<UpstreamEvidence> SessionEngine::evidence() const
+std::vector<UpstreamHealth> SessionEngine::upstreamHealth() const
 {
-    std::vector<UpstreamEvidence> all;
+    std::vector<UpstreamHealth> all;
     for (const auto& [service, group] : this->state->groups) {
         for (const auto& [name, upstream] : group.upstreams) {
             all.push_back({ .service = service,
--- a/src/pooling/session_state.cpp
+++ b/src/pooling/session_state.cpp
@@ -2,7 +2,7 @@
 
 namespace cyclamendrift {
 
-std::vector<SetupStep> ConnectionState::match(const SessionState& session, const PreparedShape* needed)
+std::vector<SetupStep> ConnectionState::stepsToMatch(const SessionState& session, const PreparedShape* needed)
 {
     std::vector<SetupStep> steps;
     // There is no way to unset one value, and a value left over from another session would change what this
--- a/src/session_proxy/control_leadership.cpp
+++ b/src/session_proxy/control_leadership.cpp
@@ -113,11 +113,11 @@
 
 void SessionControl::State::takeReport(const TrafficReport& report)
 {
-    for (const auto& evidence : report.evidence) {
-        const auto coordinator = this->coordinators.find(evidence.service);
+    for (const auto& upstreamHealth : report.upstreamHealth) {
+        const auto coordinator = this->coordinators.find(upstreamHealth.service);
         if (coordinator != this->coordinators.end())
-            coordinator->second.onTraffic(
-                evidence.upstream, evidence.lastAnswer, evidence.failingSince, evidence.contradictsView);
+            coordinator->second.onTraffic(upstreamHealth.upstream, upstreamHealth.lastAnswer,
+                upstreamHealth.failingSince, upstreamHealth.contradictsView);
     }
     this->demand.note(report.demand, bootNow());
     this->counters = report.counters;
--- a/src/session_proxy/control_membership.cpp
+++ b/src/session_proxy/control_membership.cpp
@@ -287,8 +287,8 @@
     this->place.rank = listed ? static_cast<std::size_t>(std::distance(this->siblings.begin(), own))
                               : this->siblings.size();
     this->place.vms = this->siblings.size() + (listed ? 0 : 1);
-    this->place.homes = GroupHomes::areUseful(strengths.size())
-        ? std::make_shared<GroupHomes>(this->options.vm, strengths)
+    this->place.owners = ServiceOwners::areUseful(strengths.size())
+        ? std::make_shared<ServiceOwners>(this->options.vm, strengths)
         : nullptr;
     this->options.traffic.setPlace(this->place);
     this->options.traffic.setSiblings(this->siblings);
--- a/src/session_proxy/home_codec.cpp
+++ b/src/session_proxy/home_codec.cpp
@@ -14,24 +14,24 @@
 
 [[noreturn]] void refuse() { throw notRun(RefusalReason::BadRequest, "a sibling's message cannot be read"); }
 
-wire::HandedKind kindOf(WorkKind kind)
+wire::HandedKind kindOf(StatementKind kind)
 {
     switch (kind) {
-    case WorkKind::Read:
+    case StatementKind::Read:
         return wire::HANDED_KIND_READ;
-    case WorkKind::Write:
+    case StatementKind::Write:
         return wire::HANDED_KIND_WRITE;
-    case WorkKind::Commit:
+    case StatementKind::Commit:
         return wire::HANDED_KIND_COMMIT;
     }
     return wire::HANDED_KIND_READ;
 }
 
-WorkKind kindFrom(wire::HandedKind kind)
+StatementKind kindFrom(wire::HandedKind kind)
 {
     if (kind == wire::HANDED_KIND_COMMIT)
-        return WorkKind::Commit;
-    return kind == wire::HANDED_KIND_WRITE ? WorkKind::Write : WorkKind::Read;
+        return StatementKind::Commit;
+    return kind == wire::HANDED_KIND_WRITE ? StatementKind::Write : StatementKind::Read;
 }
 
 void writeRoute(const Route& route, wire::HandedWork& message)
@@ -62,7 +62,7 @@
     return route;
 }
 
-void writePrepared(const HandedWork& work, wire::HandedWork& message)
+void writePrepared(const ForwardedStatement& work, wire::HandedWork& message)
 {
     const auto* execute = std::get_if<ExecutePrepared>(&work.query.statement);
     if (execute == nullptr)
@@ -81,23 +81,23 @@
         return ExecutePrepared { .name = message.prepared().name(),
             .arguments = message.prepared().arguments() };
     switch (kindFrom(message.kind())) {
-    case WorkKind::Read:
+    case StatementKind::Read:
         return ReadItem {};
-    case WorkKind::Write:
+    case StatementKind::Write:
         return WriteItem {};
-    case WorkKind::Commit:
+    case StatementKind::Commit:
         return CommitTransaction {};
     }
-    return UnreadableStatement {};
+    return MalformedStatement {};
 }
 
 } // namespace
 
-std::string encode(const HandedWork& work)
+std::string encode(const ForwardedStatement& work)
 {
     wire::HandedWork message;
-    message.set_guest(static_cast<std::uint64_t>(work.guest));
-    message.set_continues(work.continues);
+    message.set_guest(static_cast<std::uint64_t>(work.remoteSession));
+    message.set_continues(work.continuesTransaction);
     message.set_id(work.query.id);
     message.set_text(work.query.text);
     message.set_kind(kindOf(work.kind));
@@ -111,22 +111,22 @@
     }
     message.set_in_transaction(work.inTransaction);
     message.set_read_only(work.readOnly);
-    if (work.floor) {
-        *message.mutable_floor() = wireProgress(*work.floor);
-        message.set_floor_age_us(wireMicroseconds(work.floorAge));
+    if (work.requiredProgress) {
+        *message.mutable_floor() = wireProgress(*work.requiredProgress);
+        message.set_floor_age_us(wireMicroseconds(work.requiredProgressAge));
     }
     message.set_waited_us(wireMicroseconds(work.waited));
     return message.SerializeAsString();
 }
 
-HandedWork decodeWork(const std::string& body)
+ForwardedStatement decodeWork(const std::string& body)
 {
     wire::HandedWork message;
     if (!message.ParseFromString(body) || message.service().empty() || message.team().empty())
         refuse();
-    HandedWork work;
-    work.guest = CallerId { message.guest() };
-    work.continues = message.continues();
+    ForwardedStatement work;
+    work.remoteSession = CallerId { message.guest() };
+    work.continuesTransaction = message.continues();
     work.query = { .id = message.id(), .text = message.text(), .statement = statementFrom(message) };
     work.kind = kindFrom(message.kind());
     work.team = TeamName { message.team() };
@@ -139,8 +139,8 @@
     work.inTransaction = message.in_transaction();
     work.readOnly = message.read_only();
     if (message.has_floor())
-        work.floor = progressFrom(message.floor());
-    work.floorAge = durationFrom(message.floor_age_us());
+        work.requiredProgress = progressFrom(message.floor());
+    work.requiredProgressAge = durationFrom(message.floor_age_us());
     work.waited = durationFrom(message.waited_us());
     return work;
 }
@@ -182,10 +182,10 @@
     return reply;
 }
 
-std::string encodeGuest(CallerId guest)
+std::string encodeGuest(CallerId remoteSession)
 {
     wire::GuestLeft message;
-    message.set_guest(static_cast<std::uint64_t>(guest));
+    message.set_guest(static_cast<std::uint64_t>(remoteSession));
     return message.SerializeAsString();
 }
 
--- a/src/session_proxy/home_codec.h
+++ b/src/session_proxy/home_codec.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <cyclamendrift/pooling/handed_work.h>
+#include <cyclamendrift/pooling/forwarded_statement.h>
 #include <cyclamendrift/pooling/reply.h>
 
 #include <string>
@@ -9,8 +9,8 @@
 /// Decoding throws RequestError: nothing was run.
 namespace cyclamendrift::home_codec {
 
-[[nodiscard]] std::string encode(const HandedWork& work);
-[[nodiscard]] HandedWork decodeWork(const std::string& body);
+[[nodiscard]] std::string encode(const ForwardedStatement& work);
+[[nodiscard]] ForwardedStatement decodeWork(const std::string& body);
 
 [[nodiscard]] std::string encode(const Reply& reply);
 [[nodiscard]] Reply decodeReply(const std::string& body);
--- a/src/session_proxy/session_control.cpp
+++ b/src/session_proxy/session_control.cpp
@@ -200,9 +200,9 @@
     count("in_doubt_total", "Writes and commits whose effect is not known.", own.counters.inDoubt);
     count("retried_total", "Times a statement was offered to an upstream anew.", own.counters.retried);
     count("connections_opened_total", "Connections to upstreams opened.", own.counters.connectionsOpened);
-    count("handed_on_total", "Statements handed to the home of their service.", own.counters.handedOn);
+    count("handed_on_total", "Statements handed to the home of their service.", own.counters.forwarded);
     count("taken_for_siblings_total", "Statements run here as the home of their service.",
-        own.counters.takenForSiblings);
+        own.counters.acceptedFromSiblings);
     constexpr auto readsHelp = "Reads answered, by the kind of upstream.";
     count("reads_total", readsHelp, own.counters.readsOnReplicas, { { "at", "replica" } });
     count("reads_total", readsHelp, own.counters.readsOnPrimary, { { "at", "primary" } });
--- a/src/session_proxy/session_traffic.cpp
+++ b/src/session_proxy/session_traffic.cpp
@@ -60,7 +60,7 @@
                     Instant deadline) { return this->runForSibling(std::move(body), deadline); },
               .letGuestGo =
                   [this](const std::string& body) {
-                      this->engine.guestLeft(home_codec::decodeGuest(body), bootNow());
+                      this->engine.remoteSessionReleased(home_codec::decodeGuest(body), bootNow());
                       this->performAll();
                   } })
     {
@@ -74,12 +74,12 @@
     void perform(const AcceptCaller& action);
     void perform(const AnswerCaller& action);
     void perform(const CloseCaller& action);
-    void perform(const AskForTokens& action);
-    void perform(const HandWork& action);
-    void perform(const AskHome& action);
-    void perform(const LetGuestGo& action);
-    void perform(const AnswerGuest& action);
-    void perform(const LogDecision& action);
+    void perform(const RequestTokens& action);
+    void perform(const ForwardStatement& action);
+    void perform(const CheckOwnerLiveness& action);
+    void perform(const ReleaseRemoteSession& action);
+    void perform(const AnswerRemoteSession& action);
+    void perform(const LogEvent& action);
     [[nodiscard]] asio::awaitable<std::string> runForSibling(std::string body, Instant deadline);
 
     Options options;
@@ -182,7 +182,7 @@
     this->options.callers.close(action.caller, action.failure);
 }
 
-void SessionTraffic::State::perform(const AskForTokens& action)
+void SessionTraffic::State::perform(const RequestTokens& action)
 {
     this->exchange.askForTokens(action.team, action.wanted, [this, team = action.team](std::uint32_t given) {
         this->engine.tokensReceived(team, given, bootNow());
@@ -190,49 +190,50 @@
     });
 }
 
-void SessionTraffic::State::perform(const HandWork& action)
-{
-    const auto done
-        = [this, caller = action.caller, guest = action.work.guest](SiblingExchange::HomeAnswer answer) {
-              const auto now = bootNow();
-              if (const auto* body = std::get_if<std::string>(&answer)) {
-                  try {
-                      this->engine.handedWorkAnswered(caller, guest, home_codec::decodeReply(*body), now);
-                  } catch (const RequestError& error) {
-                      logEvent(LogLevel::Error, "home_answer_unreadable", { { "reason", error.what() } });
-                      this->engine.handedWorkFailed(caller, guest, HandFailure::Lost, now);
-                  }
-              } else {
-                  this->engine.handedWorkFailed(caller, guest, std::get<HandFailure>(answer), now);
-              }
-              this->performAll();
-          };
-    this->exchange.handOn(action.home, home_codec::encode(action.work), action.timeLimit, done);
+void SessionTraffic::State::perform(const ForwardStatement& action)
+{
+    const auto done = [this, caller = action.caller, remoteSession = action.work.remoteSession](
+                          SiblingExchange::HomeAnswer answer) {
+        const auto now = bootNow();
+        if (const auto* body = std::get_if<std::string>(&answer)) {
+            try {
+                this->engine.forwardedStatementAnswered(
+                    caller, remoteSession, home_codec::decodeReply(*body), now);
+            } catch (const RequestError& error) {
+                logEvent(LogLevel::Error, "home_answer_unreadable", { { "reason", error.what() } });
+                this->engine.forwardingFailed(caller, remoteSession, ForwardFailure::Lost, now);
+            }
+        } else {
+            this->engine.forwardingFailed(caller, remoteSession, std::get<ForwardFailure>(answer), now);
+        }
+        this->performAll();
+    };
+    this->exchange.handOn(action.owner, home_codec::encode(action.work), action.timeLimit, done);
 }
 
-void SessionTraffic::State::perform(const AskHome& action)
+void SessionTraffic::State::perform(const CheckOwnerLiveness& action)
 {
-    this->exchange.askForSignOfLife(action.home, [this, home = action.home](bool gaveSign) {
-        this->engine.homeAsked(home, gaveSign, bootNow());
+    this->exchange.askForSignOfLife(action.owner, [this, owner = action.owner](bool alive) {
+        this->engine.ownerLivenessChecked(owner, alive, bootNow());
         this->performAll();
     });
 }
 
-void SessionTraffic::State::perform(const LetGuestGo& action)
+void SessionTraffic::State::perform(const ReleaseRemoteSession& action)
 {
-    this->exchange.tellGuestLeft(action.home, home_codec::encodeGuest(action.guest));
+    this->exchange.tellGuestLeft(action.owner, home_codec::encodeGuest(action.remoteSession));
 }
 
-void SessionTraffic::State::perform(const AnswerGuest& action)
+void SessionTraffic::State::perform(const AnswerRemoteSession& action)
 {
-    const auto wait = this->guests.find(action.guest);
+    const auto wait = this->guests.find(action.remoteSession);
     if (wait == this->guests.end())
         return;
     wait->second->reply = action.reply;
     wait->second->timer.cancel();
 }
 
-void SessionTraffic::State::perform(const LogDecision& action)
+void SessionTraffic::State::perform(const LogEvent& action)
 {
     const auto now = bootNow();
     if (const auto count = this->lines.takeLeftOut(action.event, now))
@@ -250,16 +251,16 @@
 asio::awaitable<std::string> SessionTraffic::State::runForSibling(std::string body, Instant deadline)
 {
     auto work = home_codec::decodeWork(body);
-    const auto guest = work.guest;
+    const auto remoteSession = work.remoteSession;
     const auto wait = std::make_shared<GuestWait>(this->options.context, deadline);
-    this->guests[guest] = wait;
-    this->engine.guestAsked(std::move(work), bootNow());
+    this->guests[remoteSession] = wait;
+    this->engine.forwardedStatementReceived(std::move(work), bootNow());
     this->performAll();
     if (!wait->reply) {
         std::error_code ignored;
         co_await wait->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
-    const auto entry = this->guests.find(guest);
+    const auto entry = this->guests.find(remoteSession);
     if (entry != this->guests.end() && entry->second == wait)
         this->guests.erase(entry);
     if (const auto reply = wait->reply)
@@ -272,19 +273,19 @@
 
 void SessionTraffic::started(CallerId caller, SessionStart start)
 {
-    this->state->engine.callerStarted(caller, start, bootNow());
+    this->state->engine.callerStartedSession(caller, start, bootNow());
     this->performAll();
 }
 
 void SessionTraffic::asked(CallerId caller, CallerQuery query)
 {
-    this->state->engine.callerAsked(caller, std::move(query), bootNow());
+    this->state->engine.callerSentStatement(caller, std::move(query), bootNow());
     this->performAll();
 }
 
 void SessionTraffic::left(CallerId caller)
 {
-    this->state->engine.callerLeft(caller, bootNow());
+    this->state->engine.callerDisconnected(caller, bootNow());
     this->performAll();
 }
 
@@ -372,7 +373,7 @@
 {
     asio::post(this->state->options.context, [this, take = std::move(take)] {
         auto& engine = this->state->engine;
-        take({ .evidence = engine.evidence(),
+        take({ .upstreamHealth = engine.upstreamHealth(),
             .demand = engine.takeDemand(),
             .counters = engine.counters(),
             .siblingTraffic = this->state->exchange.traffic(),
--- a/src/session_proxy/sibling_exchange.cpp
+++ b/src/session_proxy/sibling_exchange.cpp
@@ -109,14 +109,14 @@
     {
         const auto sibling = this->siblings.find(home);
         if (sibling == this->siblings.end() || !this->client)
-            co_return HandFailure::NotTaken;
+            co_return ForwardFailure::NotAccepted;
         try {
             co_return co_await this->ask(sibling->second.address, std::move(call));
         } catch (const RequestError& error) {
-            co_return error.outcome() == Outcome::NotRun ? HandFailure::NotTaken : HandFailure::Lost;
+            co_return error.outcome() == Outcome::NotRun ? ForwardFailure::NotAccepted : ForwardFailure::Lost;
         } catch (const SiblingError& error) {
-            co_return error.kind() == SiblingError::Kind::Unreachable ? HandFailure::NotTaken
-                                                                      : HandFailure::Lost;
+            co_return error.kind() == SiblingError::Kind::Unreachable ? ForwardFailure::NotAccepted
+                                                                      : ForwardFailure::Lost;
         }
     }
 
--- a/tests/adapter/line_codec_test.cpp
+++ b/tests/adapter/line_codec_test.cpp
@@ -52,7 +52,7 @@
     {
         for (const auto* text : { "GRANT", "READ", "WRITE item", "PREPARE s1", "PREPARE s1 LOOK x",
                  "EXECUTE s1", "BEGIN NOW", "AFTER 1.2 READ x", "SET" })
-            CHECK(isStatement<UnreadableStatement>("QUERY 1 " + std::string { text }));
+            CHECK(isStatement<MalformedStatement>("QUERY 1 " + std::string { text }));
         for (const auto* line : { "", "HELLO", "QUERY", "QUERY 1", "START", "GET / HTTP/1.1" })
             CHECK(std::holds_alternative<BadMessage>(readCallerMessage(line)));
         CHECK(std::holds_alternative<SessionEnd>(readCallerMessage("TERMINATE")));
@@ -75,9 +75,9 @@
     TEST_CASE("statements are written with the position they need, and renamed where they run a prepared one")
     {
         const Progress after { Term { 3 }, LogPosition { 1207 } };
-        CHECK(writeStatement(PassStatement { .id = "5c", .text = "READ 1a4", .after = after })
+        CHECK(writeStatement(RelayStatement { .id = "5c", .text = "READ 1a4", .after = after })
             == "QUERY 5c AFTER 3.1207 READ 1a4\r\n");
-        CHECK(writeStatement(PassStatement { .id = "5c",
+        CHECK(writeStatement(RelayStatement { .id = "5c",
                   .text = "EXECUTE s1 1a4 x",
                   .execute = ExecutePrepared { .name = "p2", .arguments = "1a4 x" } })
             == "QUERY 5c EXECUTE p2 1a4 x\r\n");
--- a/tests/adapter/operator_format_test.cpp
+++ b/tests/adapter/operator_format_test.cpp
@@ -39,7 +39,7 @@
         CHECK(*table.findTeam("k2") == TeamName { "a" });
         CHECK(table.limits.at(TeamName { "a" }) == TeamLimit { 132.5, 100 });
         CHECK(table.connectionCaps.at(ServiceName { "register" }) == 21);
-        CHECK(table.transactionIdleTime == 3s);
+        CHECK(table.maxTransactionIdleTime == 3s);
     }
 
     TEST_CASE("a kind of route that is not known is served as the strictest")
@@ -63,7 +63,7 @@
         CHECK(entry.port == 8080);
         CHECK(entry.claimsPrimary);
         CHECK_FALSE(entry.draining);
-        CHECK(entry.bornMs == 1700000000123);
+        CHECK(entry.startedAtMs == 1700000000123);
     }
 
     TEST_CASE("entries of other writers are set aside")
--- a/tests/leadership/leader_coordinator_test.cpp
+++ b/tests/leadership/leader_coordinator_test.cpp
@@ -313,11 +313,11 @@
         auto& vm = world.vm(2);
         vm.storeAwayUntil = world.now + 20s;
         vm.cutFrom = { UpstreamName { "replica-1" }, UpstreamName { "replica-2" } };
-        REQUIRE(world.passUntil(3s, [&] { return !vm.coordinator.view().holds(world.now); }));
+        REQUIRE(world.passUntil(3s, [&] { return !vm.coordinator.view().isValid(world.now); }));
         const UpstreamStatus follows { .term = Term { 1 } };
         for (const auto* name : { "replica-1", "replica-2" })
             vm.coordinator.onStatus(UpstreamName { name }, follows, world.now - 50ms, world.now);
-        CHECK_FALSE(vm.coordinator.view().holds(world.now));
+        CHECK_FALSE(vm.coordinator.view().isValid(world.now));
     }
 
     TEST_CASE("a replica that the promoter cannot reach does not keep a view of the old primary up")
@@ -436,9 +436,9 @@
         snapshot.duty = LeadershipDuty { .holder = other, .token = 15, .revision = 15 };
         snapshot.askedAt = start;
         coordinator.onSnapshot(snapshot, start + 10ms);
-        REQUIRE_FALSE(coordinator.view().holds(start + 20ms));
+        REQUIRE_FALSE(coordinator.view().isValid(start + 20ms));
         coordinator.onWritten(led, 10, start + 20ms);
-        CHECK_FALSE(coordinator.view().holds(start + 20ms));
+        CHECK_FALSE(coordinator.view().isValid(start + 20ms));
     }
 
     TEST_CASE("a replica of a newer term ends the view of a VM that the store turns away")
@@ -449,14 +449,14 @@
         auto& vm = world.vm(2);
         vm.storeAwayUntil = world.now + 20s;
         world.pass(400ms);
-        REQUIRE(vm.coordinator.view().holds(world.now));
+        REQUIRE(vm.coordinator.view().isValid(world.now));
         const UpstreamStatus newer { .term = Term { 2 } };
         vm.coordinator.onStatus(UpstreamName { "replica-1" }, newer, world.now, world.now);
-        CHECK_FALSE(vm.coordinator.view().holds(world.now));
+        CHECK_FALSE(vm.coordinator.view().isValid(world.now));
         const auto actions = vm.coordinator.tick(world.now);
         CHECK(std::any_of(actions.begin(), actions.end(), [&world](const LeadershipAction& action) {
             const auto* published = std::get_if<PublishLeader>(&action);
-            return published != nullptr && !published->view.holds(world.now);
+            return published != nullptr && !published->view.isValid(world.now);
         }));
     }
 
@@ -484,14 +484,14 @@
         vm.storeAwayUntil = world.now + 20s;
         vm.cutFrom = { UpstreamName { "replica-1" }, UpstreamName { "replica-2" } };
         world.pass(2s);
-        REQUIRE_FALSE(vm.coordinator.view().holds(world.now));
+        REQUIRE_FALSE(vm.coordinator.view().isValid(world.now));
         const auto& sibling = world.vm(0).coordinator;
         REQUIRE(sibling.vouchedAt(world.now));
         vm.coordinator.onSiblingView(sibling.recordRevision() + 1, *sibling.vouchedAt(world.now));
-        CHECK_FALSE(vm.coordinator.view().holds(world.now));
+        CHECK_FALSE(vm.coordinator.view().isValid(world.now));
         vm.coordinator.onSiblingView(sibling.recordRevision(), *sibling.vouchedAt(world.now));
-        CHECK(vm.coordinator.view().holds(world.now));
-        CHECK(vm.coordinator.view().validUntil == sibling.view().validUntil);
+        CHECK(vm.coordinator.view().isValid(world.now));
+        CHECK(vm.coordinator.view().expiresAt == sibling.view().expiresAt);
     }
 
     TEST_CASE("a VM that leaves replicas to its siblings asks them itself before its view ends")
@@ -503,7 +503,7 @@
         vm.coordinator.setVouchesForSiblings(false);
         vm.storeAwayUntil = world.now + 20s;
         world.pass(6s);
-        CHECK(vm.coordinator.view().holds(world.now));
+        CHECK(vm.coordinator.view().isValid(world.now));
         CHECK(vm.coordinator.counters().viewsEnded == 0);
     }
 
@@ -518,8 +518,8 @@
         CHECK(world.allFollowLeader());
         world.vm(2).cutFrom = { UpstreamName { "replica-2" } };
         world.pass(1500ms);
-        CHECK_FALSE(world.vm(2).coordinator.view().holds(world.now));
-        CHECK(world.vm(1).coordinator.view().holds(world.now));
+        CHECK_FALSE(world.vm(2).coordinator.view().isValid(world.now));
+        CHECK(world.vm(1).coordinator.view().isValid(world.now));
         world.storeDown = false;
         settle(world);
     }
@@ -535,7 +535,7 @@
         world.vm(0).frozenUntil = world.now + 60s;
         REQUIRE(world.passUntil(12s, [&] {
             const auto* leads = world.leader();
-            return leads != nullptr && world.vm(1).coordinator.view().holds(world.now);
+            return leads != nullptr && world.vm(1).coordinator.view().isValid(world.now);
         }));
         CHECK(world.violations.empty());
     }
@@ -646,7 +646,7 @@
         world.member("replica-1").running = false;
         REQUIRE(world.passUntil(20s, [&] {
             const auto* leads = world.leader();
-            return leads != nullptr && world.vm(1).coordinator.view().holds(world.now);
+            return leads != nullptr && world.vm(1).coordinator.view().isValid(world.now);
         }));
         CHECK(world.leader()->entry.name == UpstreamName { "replica-2" });
         CHECK(world.violations.empty());
--- a/tests/leadership/leadership_world.cpp
+++ b/tests/leadership/leadership_world.cpp
@@ -141,7 +141,7 @@
         return false;
     return std::all_of(this->vms.begin(), this->vms.end(), [&](const VmModel& vm) {
         const auto view = vm.coordinator.view();
-        return view.holds(this->now) && view.primary == leads->entry.name;
+        return view.isValid(this->now) && view.primary == leads->entry.name;
     });
 }
 
@@ -150,7 +150,7 @@
     std::set<UpstreamName> primaries;
     for (const auto& vm : this->vms) {
         const auto view = vm.coordinator.view();
-        if (view.holds(this->now))
+        if (view.isValid(this->now))
             primaries.insert(view.primary);
     }
     return primaries;
@@ -360,7 +360,7 @@
         return;
     for (const auto& vm : this->vms) {
         const auto view = vm.coordinator.view();
-        const bool old = view.holds(this->now) && static_cast<std::uint64_t>(view.term) < leads->term;
+        const bool old = view.isValid(this->now) && static_cast<std::uint64_t>(view.term) < leads->term;
         if (old)
             this->violations.push_back(vm.name.string() + " may still act on term "
                 + std::to_string(static_cast<std::uint64_t>(view.term)) + " while another upstream leads");
--- a/tests/pooling/contradicted_view_test.cpp
+++ b/tests/pooling/contradicted_view_test.cpp
@@ -37,9 +37,9 @@
 
 bool isContradicted(const PoolWorld& world)
 {
-    const auto all = world.engine.evidence();
-    return std::any_of(
-        all.begin(), all.end(), [](const UpstreamEvidence& evidence) { return evidence.contradictsView; });
+    const auto all = world.engine.upstreamHealth();
+    return std::any_of(all.begin(), all.end(),
+        [](const UpstreamHealth& upstreamHealth) { return upstreamHealth.contradictsView; });
 }
 
 /// Reads of `caller` until one came to an upstream of a later term.
@@ -74,7 +74,7 @@
 {
     world.interfere
         = [=, &world](const ModelConnection&, const UpstreamStatement& statement) -> std::optional<Reply> {
-        const auto* pass = std::get_if<PassStatement>(&statement);
+        const auto* pass = std::get_if<RelayStatement>(&statement);
         if (pass == nullptr || pass->text != text)
             return std::nullopt;
         std::optional reply { Reply {
@@ -231,7 +231,7 @@
         CHECK_FALSE(world.run(caller, "c/2", "READ 1").failure);
         world.interfere = [](const ModelConnection&, const UpstreamStatement& statement) {
             std::optional<Reply> refused;
-            if (std::holds_alternative<PassStatement>(statement))
+            if (std::holds_alternative<RelayStatement>(statement))
                 refused = Reply { .failure = StatementFailure { StatementError::ReadOnly, "no" },
                     .phase = SessionPhase::FailedTransaction };
             return refused;
@@ -255,7 +255,7 @@
         world.lead("primary", 3);
         world.interfere = [&world](const ModelConnection&, const UpstreamStatement& statement) {
             std::optional<Reply> refused;
-            if (std::holds_alternative<PassStatement>(statement)) {
+            if (std::holds_alternative<RelayStatement>(statement)) {
                 refused = Reply { .failure = StatementFailure { StatementError::ReadOnly, "no" } };
                 world.interfere = nullptr;
             }
@@ -334,7 +334,7 @@
         PoolWorld world { bounded };
         const auto caller = world.connect();
         world.interfere = [&world](const ModelConnection&, const UpstreamStatement& statement) {
-            if (std::holds_alternative<PassStatement>(statement) && world.runs().empty())
+            if (std::holds_alternative<RelayStatement>(statement) && world.runs().empty())
                 world.promote("replica-1");
             world.interfere = nullptr;
             return std::optional<Reply> {};
@@ -505,7 +505,7 @@
         const auto answerWith = [&world](const std::string& text, const Reply& reply) {
             world.interfere = [text, reply, before = world.interfere](
                                   const ModelConnection& connection, const UpstreamStatement& statement) {
-                const auto* pass = std::get_if<PassStatement>(&statement);
+                const auto* pass = std::get_if<RelayStatement>(&statement);
                 if (pass != nullptr && pass->text == text)
                     return std::optional { reply };
                 return before ? before(connection, statement) : std::nullopt;
@@ -563,12 +563,12 @@
         PoolWorld world { { .freshness = ReadOwnWritesRoute { 2500ms } } };
         const auto first = world.connect();
         CHECK_FALSE(world.run(first, "f/1", "READ 1").failure);
-        HandedWork work { .guest = CallerId { 77 },
+        ForwardedStatement work { .remoteSession = CallerId { 77 },
             .query = { .id = "g/1", .text = "READ 1", .statement = ReadItem {} },
             .team = TeamName { "a" },
             .route = world.routes->routes.at("beds"),
-            .floor = at(2, 101) };
-        world.engine.guestAsked(work, world.now);
+            .requiredProgress = at(2, 101) };
+        world.engine.forwardedStatementReceived(work, world.now);
         world.pass(100ms);
         CHECK(world.timesRun("g/1") == 0);
     }
@@ -580,13 +580,14 @@
         const auto caller = world.connect();
         world.promote("replica-1");
         world.engine.setLeader(ServiceName { "register" },
-            { .phase = LeaderView::Phase::Led,
+            { .phase = LeaderView::Phase::Settled,
                 .primary = UpstreamName { "replica-1" },
                 .term = Term { 2 },
-                .validUntil = world.now + 1s },
+                .expiresAt = world.now + 1s },
             world.now);
         CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
-        world.failHanding = [](const HandWork&) { return std::optional { HandFailure::NotTaken }; };
+        world.failHanding
+            = [](const ForwardStatement&) { return std::optional { ForwardFailure::NotAccepted }; };
         world.renewing = false;
         world.ask(caller, "c/2", "READ 1");
         checkSentAway(answerSoon(world, caller));
--- a/tests/pooling/handed_work_test.cpp
+++ b/tests/pooling/forwarded_statement_test.cpp
@@ -10,9 +10,9 @@
 const PoolWorld::Options throughHome { .freshness = ReadOwnWritesRoute { 2500ms }, .throughHome = true };
 
 /// Fails the next statement that is handed on, and none after it.
-void failOnce(PoolWorld& world, HandFailure failure)
+void failOnce(PoolWorld& world, ForwardFailure failure)
 {
-    world.failHanding = [&world, failure](const HandWork&) {
+    world.failHanding = [&world, failure](const ForwardStatement&) {
         world.failHanding = nullptr;
         return std::optional { failure };
     };
@@ -61,9 +61,9 @@
         CHECK(world.run(caller, "c/4", "COMMIT").phase == SessionPhase::Idle);
         CHECK(world.committed("c/2"));
         REQUIRE(world.handed.size() == 3);
-        CHECK(world.handed[0].guest == world.handed[2].guest);
-        CHECK_FALSE(world.handed[0].continues);
-        CHECK(world.handed[1].continues);
+        CHECK(world.handed[0].remoteSession == world.handed[2].remoteSession);
+        CHECK_FALSE(world.handed[0].continuesTransaction);
+        CHECK(world.handed[1].continuesTransaction);
         CHECK(world.engine.callers() == 0);
     }
 
@@ -91,7 +91,7 @@
         // The home was killed a moment ago. Nothing has reached it, so the caller need not hear of it.
         PoolWorld world { throughHome };
         const auto caller = world.connect();
-        failOnce(world, HandFailure::NotTaken);
+        failOnce(world, ForwardFailure::NotAccepted);
         CHECK_FALSE(world.run(caller, "c/1", "WRITE 1 x").failure);
         CHECK(world.timesRun("c/1") == 1);
         CHECK(world.entry->connections() == 1);
@@ -108,7 +108,7 @@
         // placed twice; called not run, the shop would place it again itself.
         PoolWorld world { throughHome };
         const auto caller = world.connect();
-        failOnce(world, HandFailure::Lost);
+        failOnce(world, ForwardFailure::Lost);
         CHECK(errorOf(world.run(caller, "c/1", "WRITE 1 x")) == StatementError::InDoubt);
         CHECK(world.timesRun("c/1") == 1);
         CHECK(world.committed("c/1"));
@@ -120,7 +120,7 @@
         const auto caller = world.connect();
         CHECK_FALSE(world.run(caller, "c/1", "BEGIN").failure);
         CHECK_FALSE(world.run(caller, "c/2", "WRITE 1 x").failure);
-        failOnce(world, HandFailure::Lost);
+        failOnce(world, ForwardFailure::Lost);
         const auto reply = world.run(caller, "c/3", "COMMIT");
         CHECK(errorOf(reply) == StatementError::InDoubt);
         CHECK(reply.phase == SessionPhase::Idle);
@@ -135,7 +135,7 @@
         const auto caller = world.connect();
         CHECK_FALSE(world.run(caller, "c/1", "BEGIN").failure);
         CHECK_FALSE(world.run(caller, "c/2", "WRITE 1 x").failure);
-        failOnce(world, HandFailure::NotTaken);
+        failOnce(world, ForwardFailure::NotAccepted);
         const auto reply = world.run(caller, "c/3", "WRITE 2 y");
         CHECK(errorOf(reply) == StatementError::Aborted);
         CHECK(reply.phase == SessionPhase::FailedTransaction);
@@ -152,7 +152,7 @@
         const auto caller = world.connect();
         CHECK_FALSE(world.run(caller, "c/1", "BEGIN").failure);
         CHECK_FALSE(world.run(caller, "c/2", "WRITE 1 x").failure);
-        world.engine.guestLeft(world.handed.front().guest, world.now);
+        world.engine.remoteSessionReleased(world.handed.front().remoteSession, world.now);
         CHECK(errorOf(world.run(caller, "c/3", "WRITE 2 y")) == StatementError::Aborted);
         CHECK(world.timesRun("c/3") == 0);
     }
@@ -166,8 +166,8 @@
         CHECK_FALSE(world.run(caller, "c/1", "WRITE 1 x").failure);
         CHECK_FALSE(world.run(caller, "c/2", "READ 1").failure);
         REQUIRE(world.handed.size() == 2);
-        REQUIRE(world.handed[1].floor.has_value());
-        CHECK(world.handed[1].floor->position == LogPosition { 101 });
+        REQUIRE(world.handed[1].requiredProgress.has_value());
+        CHECK(world.handed[1].requiredProgress->position == LogPosition { 101 });
     }
 
     TEST_CASE("an operation that the home refuses does not count against the team's limit")
@@ -178,7 +178,7 @@
         const auto caller = world.connect();
         world.interfere = [](const ModelConnection&, const UpstreamStatement& statement) {
             std::optional<Reply> full;
-            if (std::holds_alternative<PassStatement>(statement))
+            if (std::holds_alternative<RelayStatement>(statement))
                 full = Reply { .failure = StatementFailure { StatementError::Busy, "full" } };
             return full;
         };
@@ -204,7 +204,7 @@
         CHECK(world.logged("refused").front().at("id") == "order-7");
         world.entry->setShares({ { TeamName { "a" }, { .ratePerSecond = 4, .burst = 4 } } }, world.now);
         world.pass(1s);
-        failOnce(world, HandFailure::Lost);
+        failOnce(world, ForwardFailure::Lost);
         CHECK(errorOf(world.run(caller, "order-8", "WRITE 1 x")) == StatementError::InDoubt);
         CHECK(world.logged("home_failed").front().at("id") == "order-8");
         CHECK(world.logged("answer_lost").front().at("id") == "order-8");
--- a/tests/pooling/home_health_test.cpp
+++ b/tests/pooling/owner_health_test.cpp
@@ -1,6 +1,6 @@
 #include "pool_world.h"
 
-#include <cyclamendrift/pooling/home_health.h>
+#include <cyclamendrift/pooling/owner_health.h>
 
 #include <doctest/doctest.h>
 
@@ -10,7 +10,7 @@
 namespace {
 
 const PoolWorld::Options throughHome { .freshness = ReadOwnWritesRoute { 2500ms }, .throughHome = true };
-const VmName home { "vm-1" };
+const VmName owner { "vm-1" };
 constexpr Instant start { 100s };
 
 } // namespace
@@ -96,13 +96,13 @@
         PoolWorld world { throughHome };
         const auto caller = world.connect();
         world.ask(caller, "c/1", "READ 1");
-        const auto former = world.handed.back().guest;
+        const auto former = world.handed.back().remoteSession;
         CHECK_FALSE(world.answer(caller).failure);
         world.holding = true;
         world.ask(caller, "c/2", "READ 2");
         const Reply late { .rows = { "row of c/1" }, .proof = "proof" };
-        world.entry->handedWorkAnswered(caller, former, late, world.now);
-        world.entry->handedWorkFailed(caller, former, HandFailure::NotTaken, world.now);
+        world.entry->forwardedStatementAnswered(caller, former, late, world.now);
+        world.entry->forwardingFailed(caller, former, ForwardFailure::NotAccepted, world.now);
         CHECK(world.answers(caller).empty());
         world.holding = false;
         world.deliver();
@@ -129,29 +129,29 @@
 
     TEST_CASE("a home is asked only when it owes an answer for a while")
     {
-        HomeHealth health;
-        health.noteWaiting({ { home, start } });
-        CHECK(health.due(start + 100ms).empty());
-        CHECK(health.due(start + 150ms) == std::vector { home });
-        CHECK(health.due(start + 200ms).empty());
-        CHECK_FALSE(health.askEnded(home, true, start + 210ms));
-        CHECK_FALSE(health.isOutOfReach(home));
-        health.noteWaiting({});
-        CHECK(health.due(start + 1s).empty());
+        OwnerHealth health;
+        health.recordWaiting({ { owner, start } });
+        CHECK(health.beginDueChecks(start + 100ms).empty());
+        CHECK(health.beginDueChecks(start + 150ms) == std::vector { owner });
+        CHECK(health.beginDueChecks(start + 200ms).empty());
+        CHECK_FALSE(health.checkEnded(owner, true, start + 210ms));
+        CHECK_FALSE(health.isUnreachable(owner));
+        health.recordWaiting({});
+        CHECK(health.beginDueChecks(start + 1s).empty());
     }
 
     TEST_CASE("a home out of reach is asked until it gives a sign, or long enough")
     {
-        HomeHealth health;
-        health.noteWaiting({ { home, start } });
-        static_cast<void>(health.due(start + 150ms));
-        CHECK(health.askEnded(home, false, start + 250ms));
-        health.noteWaiting({});
-        CHECK(health.isOutOfReach(home));
-        CHECK(health.due(start + 600ms) == std::vector { home });
-        CHECK_FALSE(health.askEnded(home, false, start + 700ms));
-        CHECK(health.due(start + 1100ms) == std::vector { home });
-        CHECK_FALSE(health.askEnded(home, true, start + 1110ms));
-        CHECK_FALSE(health.isOutOfReach(home));
+        OwnerHealth health;
+        health.recordWaiting({ { owner, start } });
+        static_cast<void>(health.beginDueChecks(start + 150ms));
+        CHECK(health.checkEnded(owner, false, start + 250ms));
+        health.recordWaiting({});
+        CHECK(health.isUnreachable(owner));
+        CHECK(health.beginDueChecks(start + 600ms) == std::vector { owner });
+        CHECK_FALSE(health.checkEnded(owner, false, start + 700ms));
+        CHECK(health.beginDueChecks(start + 1100ms) == std::vector { owner });
+        CHECK_FALSE(health.checkEnded(owner, true, start + 1110ms));
+        CHECK_FALSE(health.isUnreachable(owner));
     }
 }
--- a/tests/pooling/pool_world.cpp
+++ b/tests/pooling/pool_world.cpp
@@ -38,10 +38,10 @@
         return ExecutePrepared { .name = words[1], .arguments = words[2] };
     if (words[0] == "DEALLOCATE")
         return DeallocateStatement { .name = words[1] };
-    return UnreadableStatement {};
+    return MalformedStatement {};
 }
 
-bool isWrite(const ModelConnection& connection, const PassStatement& statement)
+bool isWrite(const ModelConnection& connection, const RelayStatement& statement)
 {
     if (statement.execute)
         return connection.prepared.at(statement.execute->name).writes;
@@ -66,7 +66,7 @@
             .host = "10.0.0.1",
             .port = static_cast<std::uint16_t>(8000 + index),
             .zone = ZoneName { "palermo" },
-            .slots = 3 };
+            .maxConcurrency = 3 };
         model.primary = index == 0;
         this->upstreams.emplace(model.entry.name, model);
     }
@@ -84,9 +84,9 @@
     this->forEachEngine([this](SessionEngine& one) { one.setPlace({ .vms = 1, .rank = 0 }, this->now); });
     if (this->entry) {
         // The home is the only VM on the list, so that it is the home of everything.
-        const auto homes = std::make_shared<GroupHomes>(
+        const auto owners = std::make_shared<ServiceOwners>(
             VmName { "entry" }, std::map<VmName, VmStrength> { { VmName { "home" }, {} } });
-        this->entry->setPlace({ .vms = options.vms, .rank = 0, .homes = homes }, this->now);
+        this->entry->setPlace({ .vms = options.vms, .rank = 0, .owners = owners }, this->now);
     }
     this->publishDirectory();
     this->lead("primary", 1);
@@ -111,8 +111,9 @@
 
 void PoolWorld::lead(const std::string& upstream, std::uint64_t term)
 {
-    this->view
-        = { .phase = LeaderView::Phase::Led, .primary = UpstreamName { upstream }, .term = Term { term } };
+    this->view = {
+        .phase = LeaderView::Phase::Settled, .primary = UpstreamName { upstream }, .term = Term { term }
+    };
     this->renewLeader();
 }
 
@@ -132,7 +133,7 @@
 
 void PoolWorld::renewLeader()
 {
-    this->view.validUntil = this->now + std::chrono::seconds { 1 };
+    this->view.expiresAt = this->now + std::chrono::seconds { 1 };
     this->forEachEngine([this](SessionEngine& one) { one.setLeader(service, this->view, this->now); });
     this->perform();
 }
@@ -141,20 +142,21 @@
 {
     const CallerId caller { ++this->lastCaller };
     this->front().callerConnected(caller, this->now);
-    this->front().callerStarted(caller, { .database = database, .key = key }, this->now);
+    this->front().callerStartedSession(caller, { .database = database, .key = key }, this->now);
     this->perform();
     return caller;
 }
 
 void PoolWorld::ask(CallerId caller, const std::string& id, const std::string& text)
 {
-    this->front().callerAsked(caller, { .id = id, .text = text, .statement = statementOf(text) }, this->now);
+    this->front().callerSentStatement(
+        caller, { .id = id, .text = text, .statement = statementOf(text) }, this->now);
     this->perform();
 }
 
 void PoolWorld::leave(CallerId caller)
 {
-    this->front().callerLeft(caller, this->now);
+    this->front().callerDisconnected(caller, this->now);
     this->perform();
 }
 
@@ -245,20 +247,20 @@
     this->perform();
 }
 
-void PoolWorld::handOn(const HandWork& action)
+void PoolWorld::handOn(const ForwardStatement& action)
 {
     this->handed.push_back(action.work);
     const auto failure = this->failHanding ? this->failHanding(action) : std::nullopt;
-    if (failure == HandFailure::NotTaken)
-        return this->entry->handedWorkFailed(action.caller, action.work.guest, *failure, this->now);
-    this->waitingForHome[action.work.guest] = { .caller = action.caller,
+    if (failure == ForwardFailure::NotAccepted)
+        return this->entry->forwardingFailed(action.caller, action.work.remoteSession, *failure, this->now);
+    this->waitingForHome[action.work.remoteSession] = { .caller = action.caller,
         .until = this->now + action.timeLimit,
-        .answerLost = failure == HandFailure::Lost };
+        .answerLost = failure == ForwardFailure::Lost };
     if (this->homeUnreachable) {
         this->underWay.push_back(action.work);
         return;
     }
-    this->engine.guestAsked(action.work, this->now);
+    this->engine.forwardedStatementReceived(action.work, this->now);
 }
 
 void PoolWorld::deliverToHome()
@@ -266,36 +268,37 @@
     this->homeUnreachable = false;
     // The link is closed with what the other end has given up.
     for (const auto& work : std::exchange(this->underWay, {})) {
-        if (this->waitingForHome.contains(work.guest))
-            this->engine.guestAsked(work, this->now);
+        if (this->waitingForHome.contains(work.remoteSession))
+            this->engine.forwardedStatementReceived(work, this->now);
     }
     this->perform();
 }
 
-void PoolWorld::answerGuest(const AnswerGuest& action)
+void PoolWorld::answerGuest(const AnswerRemoteSession& action)
 {
-    const auto match = this->waitingForHome.find(action.guest);
+    const auto match = this->waitingForHome.find(action.remoteSession);
     if (match == this->waitingForHome.end())
         return;
     const auto waiting = match->second;
     this->waitingForHome.erase(match);
     if (waiting.answerLost)
-        this->entry->handedWorkFailed(waiting.caller, action.guest, HandFailure::Lost, this->now);
+        this->entry->forwardingFailed(waiting.caller, action.remoteSession, ForwardFailure::Lost, this->now);
     else
-        this->entry->handedWorkAnswered(waiting.caller, action.guest, action.reply, this->now);
+        this->entry->forwardedStatementAnswered(
+            waiting.caller, action.remoteSession, action.reply, this->now);
 }
 
 void PoolWorld::giveUpHanded()
 {
     std::vector<CallerId> overdue;
-    for (const auto& [guest, waiting] : this->waitingForHome) {
+    for (const auto& [remoteSession, waiting] : this->waitingForHome) {
         if (this->now >= waiting.until)
-            overdue.push_back(guest);
+            overdue.push_back(remoteSession);
     }
-    for (const auto guest : overdue) {
-        const auto waiting = this->waitingForHome.at(guest);
-        this->waitingForHome.erase(guest);
-        this->entry->handedWorkFailed(waiting.caller, guest, HandFailure::Lost, this->now);
+    for (const auto remoteSession : overdue) {
+        const auto waiting = this->waitingForHome.at(remoteSession);
+        this->waitingForHome.erase(remoteSession);
+        this->entry->forwardingFailed(waiting.caller, remoteSession, ForwardFailure::Lost, this->now);
     }
     this->perform();
 }
@@ -306,18 +309,18 @@
         return this->open(*open, from);
     if (const auto* send = std::get_if<SendStatement>(&action))
         return this->send(*send, from);
-    if (const auto* work = std::get_if<HandWork>(&action))
+    if (const auto* work = std::get_if<ForwardStatement>(&action))
         return this->handOn(*work);
-    if (const auto* answered = std::get_if<AnswerGuest>(&action))
+    if (const auto* answered = std::get_if<AnswerRemoteSession>(&action))
         return this->answerGuest(*answered);
-    if (const auto* asked = std::get_if<AskHome>(&action)) {
+    if (const auto* asked = std::get_if<CheckOwnerLiveness>(&action)) {
         ++this->signsOfLifeAsked;
-        this->entry->homeAsked(asked->home, !this->homeUnreachable, this->now);
+        this->entry->ownerLivenessChecked(asked->owner, !this->homeUnreachable, this->now);
         return;
     }
-    if (const auto* gone = std::get_if<LetGuestGo>(&action)) {
-        this->letGo.push_back(gone->guest);
-        this->engine.guestLeft(gone->guest, this->now);
+    if (const auto* gone = std::get_if<ReleaseRemoteSession>(&action)) {
+        this->letGo.push_back(gone->remoteSession);
+        this->engine.remoteSessionReleased(gone->remoteSession, this->now);
     }
     if (const auto* close = std::get_if<CloseConnection>(&action))
         this->connections.erase({ &from, close->connection });
@@ -325,9 +328,9 @@
         this->replies[answered->caller].push_back(answered->reply);
     if (const auto* ended = std::get_if<CloseCaller>(&action))
         this->closed[ended->caller] = ended->failure;
-    if (const auto* line = std::get_if<LogDecision>(&action))
+    if (const auto* line = std::get_if<LogEvent>(&action))
         this->lines.push_back(*line);
-    if (const auto* tokens = std::get_if<AskForTokens>(&action))
+    if (const auto* tokens = std::get_if<RequestTokens>(&action))
         this->tokenQuestions.push_back(*tokens);
 }
 
@@ -411,12 +414,12 @@
         connection.uncommitted.clear();
         connection.callersInTransaction.clear();
     } else {
-        return this->pass(connection, std::get<PassStatement>(statement));
+        return this->pass(connection, std::get<RelayStatement>(statement));
     }
     return this->replyFrom(connection);
 }
 
-Reply PoolWorld::pass(ModelConnection& connection, const PassStatement& statement)
+Reply PoolWorld::pass(ModelConnection& connection, const RelayStatement& statement)
 {
     auto& upstream = this->upstreams.at(connection.upstream);
     const bool commits = statement.text == "COMMIT";
--- a/tests/pooling/pool_world.h
+++ b/tests/pooling/pool_world.h
@@ -118,13 +118,13 @@
     std::function<bool(const UpstreamStatement&)> loseAnswer;
 
     /// What becomes of a statement on its way to the home: none to let it arrive.
-    std::function<std::optional<HandFailure>(const HandWork&)> failHanding;
+    std::function<std::optional<ForwardFailure>(const ForwardStatement&)> failHanding;
     /// Nothing gets through to the home; what is handed on waits until deliverToHome().
     bool homeUnreachable = false;
     void deliverToHome();
     std::size_t signsOfLifeAsked = 0;
     /// Statements that were handed to the home.
-    std::vector<HandedWork> handed;
+    std::vector<ForwardedStatement> handed;
     /// Guests that the home was told to let go.
     std::vector<CallerId> letGo;
 
@@ -134,7 +134,7 @@
     std::unique_ptr<SessionEngine> entry;
     Instant now { std::chrono::seconds { 100 } };
     std::shared_ptr<RouteTable> routes = std::make_shared<RouteTable>();
-    std::vector<AskForTokens> tokenQuestions;
+    std::vector<RequestTokens> tokenQuestions;
     /// The fields of each line of an event that was logged.
     [[nodiscard]] std::vector<std::map<std::string, std::string>> logged(const std::string& event) const;
     bool renewing = true;
@@ -153,13 +153,13 @@
     void perform();
     [[nodiscard]] bool performOf(SessionEngine& from);
     void carryOut(const EngineAction& action, SessionEngine& from);
-    void handOn(const HandWork& action);
-    void answerGuest(const AnswerGuest& action);
+    void handOn(const ForwardStatement& action);
+    void answerGuest(const AnswerRemoteSession& action);
     void giveUpHanded();
     void open(const OpenConnection& action, SessionEngine& from);
     void send(const SendStatement& action, SessionEngine& from);
     Reply runOn(ModelConnection& connection, const UpstreamStatement& statement);
-    Reply pass(ModelConnection& connection, const PassStatement& statement);
+    Reply pass(ModelConnection& connection, const RelayStatement& statement);
     [[nodiscard]] Reply replyFrom(const ModelConnection& connection) const;
     [[nodiscard]] Reply refusal(const ModelConnection& connection, StatementError error) const;
     [[nodiscard]] bool lacks(const ModelUpstream& upstream, const std::optional<Progress>& after) const;
@@ -167,12 +167,12 @@
     std::map<UpstreamName, ModelUpstream> upstreams;
     std::map<ConnectionKey, ModelConnection> connections;
     std::map<CallerId, Handed> waitingForHome;
-    std::vector<HandedWork> underWay;
+    std::vector<ForwardedStatement> underWay;
     std::map<CallerId, std::vector<Reply>> replies;
     std::map<CallerId, std::optional<StatementFailure>> closed;
     std::deque<std::pair<EngineAction, SessionEngine*>> held;
     std::vector<RunStatement> history;
-    std::vector<LogDecision> lines;
+    std::vector<LogEvent> lines;
     std::set<std::string> commits;
     std::uint64_t lastCaller = 0;
     LeaderView view;
--- a/tests/pooling/progress_history_test.cpp
+++ b/tests/pooling/progress_history_test.cpp
@@ -21,12 +21,12 @@
         ProgressHistory history;
         const Instant start { 10s };
         for (int index = 0; index < 10; ++index)
-            history.note({ .progress = at(1, 100 + static_cast<std::uint64_t>(index)),
+            history.record({ .progress = at(1, 100 + static_cast<std::uint64_t>(index)),
                 .seenAt = start + index * 100ms });
-        const auto covering = history.covering(start + 350ms);
-        REQUIRE(covering);
-        CHECK(covering->progress == at(1, 104));
-        CHECK_FALSE(history.covering(start + 950ms));
+        const auto oldestCovering = history.oldestCovering(start + 350ms);
+        REQUIRE(oldestCovering);
+        CHECK(oldestCovering->progress == at(1, 104));
+        CHECK_FALSE(history.oldestCovering(start + 950ms));
     }
 
     TEST_CASE("a replica's lag is told from the first position that it lacks")
@@ -36,7 +36,7 @@
         ProgressHistory history;
         const Instant start { 10s };
         for (int index = 0; index < 10; ++index)
-            history.note({ .progress = at(1, 100 + static_cast<std::uint64_t>(index)),
+            history.record({ .progress = at(1, 100 + static_cast<std::uint64_t>(index)),
                 .seenAt = start + index * 100ms });
         CHECK(history.lagOf(at(1, 109), start + 1s) == 0ms);
         CHECK(history.lagOf(at(1, 104), start + 1s) == 500ms);
@@ -46,10 +46,10 @@
     {
         // After a promotion the old log may have been cut; a position beyond the cut exists nowhere any more.
         ProgressHistory history;
-        history.note({ .progress = at(1, 500), .seenAt = Instant { 10s } });
-        history.note({ .progress = at(2, 480), .seenAt = Instant { 11s } });
-        CHECK(history.covering(Instant { 9s })->progress == at(2, 480));
-        history.note({ .progress = at(1, 600), .seenAt = Instant { 12s } });
-        CHECK_FALSE(history.covering(Instant { 11s + 500ms }));
+        history.record({ .progress = at(1, 500), .seenAt = Instant { 10s } });
+        history.record({ .progress = at(2, 480), .seenAt = Instant { 11s } });
+        CHECK(history.oldestCovering(Instant { 9s })->progress == at(2, 480));
+        history.record({ .progress = at(1, 600), .seenAt = Instant { 12s } });
+        CHECK_FALSE(history.oldestCovering(Instant { 11s + 500ms }));
     }
 }
--- a/tests/pooling/group_homes_test.cpp
+++ b/tests/pooling/service_owners_test.cpp
@@ -1,4 +1,4 @@
-#include <cyclamendrift/pooling/group_homes.h>
+#include <cyclamendrift/pooling/service_owners.h>
 
 #include <doctest/doctest.h>
 
@@ -30,14 +30,15 @@
 {
     TEST_CASE("every VM names the same homes, and the teams spread over them")
     {
-        GroupHomes one { VmName { "vm-1" }, fleetOf(70) };
-        GroupHomes other { VmName { "vm-60" }, fleetOf(70) };
-        CHECK(one.of(service, cap) == other.of(service, cap));
-        CHECK(one.of(service, cap).size() == 6);
+        ServiceOwners one { VmName { "vm-1" }, fleetOf(70) };
+        ServiceOwners other { VmName { "vm-60" }, fleetOf(70) };
+        CHECK(one.ownersOf(service, cap) == other.ownersOf(service, cap));
+        CHECK(one.ownersOf(service, cap).size() == 6);
         std::set<VmName> first;
         for (int team = 0; team < 77; ++team) {
-            CHECK(one.orderFor(service, teamOf(team), cap) == other.orderFor(service, teamOf(team), cap));
-            first.insert(one.orderFor(service, teamOf(team), cap).front());
+            CHECK(one.rankedOwners(service, teamOf(team), cap)
+                == other.rankedOwners(service, teamOf(team), cap));
+            first.insert(one.rankedOwners(service, teamOf(team), cap).front());
         }
         CHECK(first.size() == 6);
     }
@@ -49,9 +50,9 @@
         const auto listed = fleetOf(70);
         for (const std::uint32_t connections : { 21U, 34U, 74U, 240U }) {
             std::size_t held = 0;
-            const auto homes = GroupHomes { VmName { "vm-0" }, listed }.of(service, connections);
-            for (const auto& vm : homes)
-                held += GroupHomes { vm, listed }.shareOf(service, connections);
+            const auto owners = ServiceOwners { VmName { "vm-0" }, listed }.ownersOf(service, connections);
+            for (const auto& vm : owners)
+                held += ServiceOwners { vm, listed }.connectionShareOf(service, connections);
             CHECK(held <= connections - connections / 8);
             CHECK(held >= connections / 2);
         }
@@ -62,15 +63,15 @@
         // A VM dies. If teams of the other homes moved as well, all their connections would be opened anew
         // at once, and each opening takes the upstream as long as a short statement.
         auto listed = fleetOf(70);
-        GroupHomes before { VmName { "vm-1" }, listed };
-        const auto homes = before.of(service, cap);
-        const auto gone = homes.front();
+        ServiceOwners before { VmName { "vm-1" }, listed };
+        const auto owners = before.ownersOf(service, cap);
+        const auto gone = owners.front();
         listed.erase(gone);
-        GroupHomes after { VmName { "vm-1" }, listed };
+        ServiceOwners after { VmName { "vm-1" }, listed };
         for (int team = 0; team < 77; ++team) {
-            const auto was = before.orderFor(service, teamOf(team), cap).front();
-            const auto now = after.orderFor(service, teamOf(team), cap).front();
-            const bool isNew = std::find(homes.begin(), homes.end(), now) == homes.end();
+            const auto was = before.rankedOwners(service, teamOf(team), cap).front();
+            const auto now = after.rankedOwners(service, teamOf(team), cap).front();
+            const bool isNew = std::find(owners.begin(), owners.end(), now) == owners.end();
             CHECK((was == now || was == gone || isNew));
         }
     }
@@ -79,9 +80,9 @@
     {
         int strong = 0;
         int all = 0;
-        GroupHomes homes { VmName { "vm-1" }, fleetOf(70) };
+        ServiceOwners owners { VmName { "vm-1" }, fleetOf(70) };
         for (int number = 0; number < 200; ++number) {
-            for (const auto& vm : homes.of(ServiceName { "service-" + std::to_string(number) }, cap)) {
+            for (const auto& vm : owners.ownersOf(ServiceName { "service-" + std::to_string(number) }, cap)) {
                 ++all;
                 strong += vm.view().size() == 4 && vm.view().back() < '6' ? 1 : 0;
             }
@@ -97,10 +98,10 @@
         std::map<VmName, VmStrength> listed;
         for (int index = 0; index < 195; ++index)
             listed[VmName { "vm-" + std::to_string(index) }].cores = index < 15 ? 0.5 : 0.12;
-        GroupHomes homes { VmName { "vm-100" }, listed };
+        ServiceOwners owners { VmName { "vm-100" }, listed };
         std::set<VmName> spokenTo;
         for (int number = 0; number < 20; ++number) {
-            const auto& chosen = homes.of(ServiceName { "service-" + std::to_string(number) }, 180);
+            const auto& chosen = owners.ownersOf(ServiceName { "service-" + std::to_string(number) }, 180);
             spokenTo.insert(chosen.begin(), chosen.end());
         }
         CHECK(spokenTo.size() <= 16);
@@ -111,10 +112,10 @@
         std::map<VmName, VmStrength> listed;
         for (int index = 0; index < 200; ++index)
             listed[VmName { "vm-" + std::to_string(index) }].cores = 0.25;
-        GroupHomes homes { VmName { "vm-100" }, listed };
+        ServiceOwners owners { VmName { "vm-100" }, listed };
         std::set<VmName> spokenTo;
         for (int number = 0; number < 200; ++number) {
-            const auto& chosen = homes.of(ServiceName { "service-" + std::to_string(number) }, 180);
+            const auto& chosen = owners.ownersOf(ServiceName { "service-" + std::to_string(number) }, 180);
             spokenTo.insert(chosen.begin(), chosen.end());
         }
         CHECK(spokenTo.size() == 50);
--- a/tests/pooling/session_engine_test.cpp
+++ b/tests/pooling/session_engine_test.cpp
@@ -10,7 +10,7 @@
 const PoolWorld::Options ownWrites { .freshness = ReadOwnWritesRoute { 2500ms } };
 const PoolWorld::Options bounded { .freshness = BoundedStalenessRoute { 1500ms } };
 
-bool isMain(const UpstreamStatement& statement) { return std::holds_alternative<PassStatement>(statement); }
+bool isMain(const UpstreamStatement& statement) { return std::holds_alternative<RelayStatement>(statement); }
 
 } // namespace
 
@@ -227,7 +227,7 @@
         world.ask(writer, "w/2", "WRITE 1 x");
         world.answers(writer);
         world.loseAnswer = [](const UpstreamStatement& statement) {
-            return isMain(statement) && std::get<PassStatement>(statement).text == "COMMIT";
+            return isMain(statement) && std::get<RelayStatement>(statement).text == "COMMIT";
         };
         const auto reply = world.run(writer, "w/3", "COMMIT");
         CHECK(errorOf(reply) == StatementError::InDoubt);
--- a/tests/pooling/session_property_test.cpp
+++ b/tests/pooling/session_property_test.cpp
@@ -42,10 +42,10 @@
         , options(options)
         , world({ .connectionCap = 4, .freshness = options.freshness, .throughHome = options.throughHome })
     {
-        this->world.failHanding = [this](const HandWork&) -> std::optional<HandFailure> {
+        this->world.failHanding = [this](const ForwardStatement&) -> std::optional<ForwardFailure> {
             if (this->chance(20))
-                return HandFailure::NotTaken;
-            return this->chance(20) ? std::optional { HandFailure::Lost } : std::nullopt;
+                return ForwardFailure::NotAccepted;
+            return this->chance(20) ? std::optional { ForwardFailure::Lost } : std::nullopt;
         };
         this->world.interfere
             = [this](const ModelConnection& connection, const UpstreamStatement& statement) {
@@ -152,7 +152,7 @@
 
     std::optional<Reply> disturb(const ModelConnection& connection, const UpstreamStatement& statement)
     {
-        const auto* pass = std::get_if<PassStatement>(&statement);
+        const auto* pass = std::get_if<RelayStatement>(&statement);
         if (pass == nullptr)
             return std::nullopt;
         this->checkPlace(connection, *pass);
@@ -164,7 +164,7 @@
     }
 
     /// Wherever a statement runs, its session's values and names are in place and nobody else's.
-    void checkPlace(const ModelConnection& connection, const PassStatement& statement)
+    void checkPlace(const ModelConnection& connection, const RelayStatement& statement)
     {
         const auto name = statement.id.substr(0, statement.id.find('/'));
         const auto person = std::find_if(this->people.begin(), this->people.end(),
