--- a/include/cyclamendrift/pooling/owner_health.h
+++ b/include/cyclamendrift/pooling/owner_health.h
@@ -29,17 +29,17 @@
     [[nodiscard]] bool isUnreachable(const VmName& owner) const;
 
 private:
-    struct Home {
+    struct Owner {
         Instant waitingSince = Instant::max();
-        Instant lastHeard = Instant::min();
-        Instant askAgainAt = Instant::min();
-        bool asking = false;
-        bool outOfReach = false;
+        Instant lastAnswerAt = Instant::min();
+        Instant nextCheckAt = Instant::min();
+        bool checking = false;
+        bool unreachable = false;
         /// Since when it has been out of reach.
-        Instant lostAt = Instant::min();
+        Instant unreachableSince = Instant::min();
     };
 
-    std::map<VmName, Home> owners;
+    std::map<VmName, Owner> owners;
 };
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/pooling/service_owners.h
+++ b/include/cyclamendrift/pooling/service_owners.h
@@ -27,7 +27,7 @@
     /// True when so many VMs are more than the homes of a service; with fewer every VM would be one.
     [[nodiscard]] static bool areUseful(std::size_t vms) noexcept;
 
-    [[nodiscard]] const VmName& self() const noexcept { return this->own; }
+    [[nodiscard]] const VmName& self() const noexcept { return this->selfName; }
 
     /// The homes of a service whose upstreams bear so many connections each; the same on every VM.
     [[nodiscard]] const std::vector<VmName>& ownersOf(
@@ -43,22 +43,23 @@
 
 private:
     /// What was chosen for a service, as long as its upstreams bear as many connections.
-    struct Choice {
+    struct Selection {
         std::uint32_t connectionCap = 0;
         std::vector<VmName> owners;
         std::size_t share = 0;
-        std::map<TeamName, std::vector<VmName>> orders;
+        std::map<TeamName, std::vector<VmName>> rankings;
     };
 
-    [[nodiscard]] Choice& choiceFor(const ServiceName& service, std::uint32_t connectionCap);
-    [[nodiscard]] std::vector<VmName> choose(const ServiceName& service, std::uint32_t connectionCap) const;
-    [[nodiscard]] std::size_t shareAmong(
+    [[nodiscard]] Selection& selectionFor(const ServiceName& service, std::uint32_t connectionCap);
+    [[nodiscard]] std::vector<VmName> selectOwners(
+        const ServiceName& service, std::uint32_t connectionCap) const;
+    [[nodiscard]] std::size_t computeShare(
         const std::vector<VmName>& owners, std::uint32_t connectionCap) const;
 
-    VmName own;
+    VmName selfName;
     /// The VMs among which homes are chosen.
     std::map<VmName, VmStrength> candidates;
-    std::map<ServiceName, Choice> choices;
+    std::map<ServiceName, Selection> selections;
 };
 
 } // namespace cyclamendrift
--- a/src/pooling/caller_session.h
+++ b/src/pooling/caller_session.h
@@ -29,23 +29,23 @@
     bool opensTransaction = false;
     Instant arrivedAt;
     /// Refused when no upstream has got it by then.
-    Instant offerBy;
+    Instant dispatchDeadline;
     /// Given up when it is not answered by then.
     Instant deadline;
     std::size_t attempts = 0;
     /// The connection that is being opened for it, or that serves it.
     std::optional<ConnectionId> connection;
     /// The home that it was handed to, and when.
-    std::optional<VmName> handedTo;
-    Instant handedAt;
+    std::optional<VmName> forwardedTo;
+    Instant forwardedAt;
     /// The home that has it now, or null.
-    [[nodiscard]] const VmName* owner() const { return this->handedTo ? &*this->handedTo : nullptr; }
+    [[nodiscard]] const VmName* owner() const { return this->forwardedTo ? &*this->forwardedTo : nullptr; }
     /// The prepared statement that it runs, if it runs one.
     std::optional<PreparedShape> shape;
     /// When to send it again on the connection that holds its transaction.
-    Instant resumeAt = Instant::max();
+    Instant retryAt = Instant::max();
     /// Upstreams that could not run it.
-    PassedOver<UpstreamName> avoided;
+    PassedOver<UpstreamName> skipped;
 };
 
 /// An operation that waits for its team's limit to let it in.
@@ -55,7 +55,7 @@
 };
 
 /// An answer that is ready but may only be given once the view of the primary is known to have held.
-struct HeldReply {
+struct UnconfirmedReply {
     Reply reply;
     UpstreamName upstream;
     Term term {};
@@ -75,12 +75,12 @@
     SessionState state;
     SessionPhase phase = SessionPhase::Idle;
     /// Statements that came in ahead of their turn.
-    std::deque<CallerQuery> pending;
+    std::deque<CallerQuery> pipelined;
     std::unique_ptr<Work> work;
-    std::unique_ptr<HeldReply> held;
+    std::unique_ptr<UnconfirmedReply> unconfirmed;
     std::unique_ptr<WaitingOperation> waiting;
     /// The operation under way was taken out of its team's limit, and no upstream has run any of it.
-    bool charged = false;
+    bool tokenSpent = false;
     /// The statement that came in last, as log lines name it.
     std::string statementId;
     /// When the statement under way came in.
@@ -92,21 +92,21 @@
     std::optional<ConnectionId> pinned;
     /// The home that holds the open transaction in this VM's place, and the guest it holds it for.
     std::optional<VmName> owner;
-    CallerId guestAtHome {};
+    CallerId sessionAtOwner {};
     bool transactionReadOnly = false;
     bool transactionWrote = false;
     /// The transaction was dropped between two statements; the next one is told so.
-    bool abortUntold = false;
+    bool abortUnreported = false;
 
     /// What the session has written, and where.
     std::optional<Progress> requiredProgress;
-    Instant floorAt;
-    ServiceName floorService;
+    Instant requiredProgressAt;
+    ServiceName requiredProgressService;
     Instant lastActive;
 
     [[nodiscard]] bool isIdle() const noexcept
     {
-        return !this->work && !this->held && !this->waiting && this->pending.empty()
+        return !this->work && !this->unconfirmed && !this->waiting && this->pipelined.empty()
             && this->phase == SessionPhase::Idle;
     }
 };
--- a/src/pooling/engine_answers.cpp
+++ b/src/pooling/engine_answers.cpp
@@ -8,7 +8,7 @@
 
 // An answer that is ready waits no longer than this to learn that the view held; renewals come three times a
 // second.
-constexpr Duration longestHold = std::chrono::milliseconds { 800 };
+constexpr Duration maxUnconfirmedTime = std::chrono::milliseconds { 800 };
 
 } // namespace
 
@@ -16,16 +16,16 @@
 {
     auto* session = connection.user ? this->findCaller(*connection.user) : nullptr;
     if (session == nullptr || !session->work)
-        return this->finishUnheard(connection, reply);
+        return this->finishAbandoned(connection, reply);
     const bool notRun = reply.failure && meansNotRun(reply.failure->error);
-    session->charged = session->charged && notRun;
+    session->tokenSpent = session->tokenSpent && notRun;
     if (session->pinned)
         this->finishInTransaction(connection, *session, std::move(reply));
     else
         this->finishSingle(connection, *session, std::move(reply));
 }
 
-void SessionEngine::State::finishUnheard(PooledConnection& connection, const Reply& reply)
+void SessionEngine::State::finishAbandoned(PooledConnection& connection, const Reply& reply)
 {
     // The caller is gone; what its transaction did is dropped.
     connection.inTransaction = reply.phase != SessionPhase::Idle;
@@ -39,22 +39,23 @@
 {
     // Letting go of the connection may close it or give it to other work.
     const RunPlace place {
-        .upstream = connection.upstream, .sentAt = connection.sentAt, .restsOn = connection.restsOn
+        .upstream = connection.upstream, .sentAt = connection.sentAt, .viewTerm = connection.viewTerm
     };
     const bool notRun = reply.failure && meansNotRun(reply.failure->error);
-    const bool unproven = session.work->kind == StatementKind::Read && connection.outlivedView(reply);
+    const bool mayBeStale = session.work->kind == StatementKind::Read && connection.isFromLaterTerm(reply);
     if (notRun)
-        this->noteNotRun(connection, reply.failure->error);
+        this->recordNotRun(connection, reply.failure->error);
     connection.user.reset();
     if (reply.phase == SessionPhase::Idle)
         this->release(connection);
     else
         this->close(connection);
     // A read leaves nothing behind and may run again.
-    if (unproven)
+    if (mayBeStale)
         return this->retry(session, UpstreamName {}, Duration {}, StatementError::Busy);
     if (!notRun)
-        return this->conclude(session, std::move(reply), place, session.work->kind == StatementKind::Write);
+        return this->finishStatement(
+            session, std::move(reply), place, session.work->kind == StatementKind::Write);
     const bool lags = reply.failure->error == StatementError::Lagging;
     const auto pause = lags ? this->options.settings.laggingBackoff : this->options.settings.busyBackoff;
     this->retry(session, place.upstream, pause, reply.failure->error);
@@ -72,14 +73,14 @@
             return this->failTransaction(connection, session, *reply.failure, reply.phase);
         // The upstream was full and the transaction stands as before.
         ++work.attempts;
-        work.resumeAt = this->now + this->options.settings.busyBackoff;
+        work.retryAt = this->now + this->options.settings.busyBackoff;
         return;
     }
     // Nothing was committed yet, so nothing of the transaction is kept.
-    if (work.kind == StatementKind::Read && connection.outlivedView(reply))
+    if (work.kind == StatementKind::Read && connection.isFromLaterTerm(reply))
         return this->dropTransaction(session, "a newer primary leads");
     const RunPlace place {
-        .upstream = connection.upstream, .sentAt = connection.sentAt, .restsOn = connection.restsOn
+        .upstream = connection.upstream, .sentAt = connection.sentAt, .viewTerm = connection.viewTerm
     };
     if (work.kind == StatementKind::Commit) {
         const bool wrote = session.transactionWrote;
@@ -87,13 +88,13 @@
         session.phase = SessionPhase::Idle;
         connection.user.reset();
         this->release(connection);
-        return this->conclude(session, std::move(reply), place, wrote);
+        return this->finishStatement(session, std::move(reply), place, wrote);
     }
     session.transactionWrote = session.transactionWrote || work.kind == StatementKind::Write;
     connection.inTransaction = true;
     // While its caller thinks, the upstream has room for somebody else's statement.
-    this->pump(this->group(connection.service));
-    this->conclude(session, std::move(reply), place, false);
+    this->dispatchWaiting(this->group(connection.service));
+    this->finishStatement(session, std::move(reply), place, false);
 }
 
 void SessionEngine::State::failTransaction(
@@ -105,7 +106,7 @@
     this->logFailure(session, connection.upstream, failure);
     // A caller may send a write within its transaction for reading, which any upstream refuses.
     if (failure.error == StatementError::ReadOnly && !session.transactionReadOnly)
-        this->noteRefusedLead(connection);
+        this->recordLeadRefusal(connection);
     connection.inTransaction = phase != SessionPhase::Idle;
     if (connection.inTransaction) {
         this->endTransaction(session);
@@ -143,7 +144,8 @@
             { "transaction", session.phase == SessionPhase::InTransaction ? "yes" : "no" } });
 }
 
-void SessionEngine::State::conclude(CallerSession& session, Reply reply, const RunPlace& place, bool keeps)
+void SessionEngine::State::finishStatement(
+    CallerSession& session, Reply reply, const RunPlace& place, bool commitsWrite)
 {
     if (reply.failure) {
         this->logFailure(session, place.upstream, *reply.failure);
@@ -155,48 +157,49 @@
         const bool atPrimary = group.view.primary == place.upstream;
         ++(atPrimary ? this->counters.readsOnPrimary : this->counters.readsOnReplicas);
     }
-    if (!keeps)
+    if (!commitsWrite)
         return this->answer(session, std::move(reply));
     if (reply.progress)
-        noteOwnWrite(session, *reply.progress, place.sentAt);
+        recordOwnWrite(session, *reply.progress, place.sentAt);
     // Without a position the answer speaks for the term of the view under which its statement was sent.
-    const auto term = reply.progress ? reply.progress->term : place.restsOn.value_or(Term {});
+    const auto term = reply.progress ? reply.progress->term : place.viewTerm.value_or(Term {});
     if (group.isLedBy(place.upstream, this->now) && group.view.term == term)
         return this->answer(session, std::move(reply));
     // The commit is there, but a new primary may have been promoted meanwhile, with a log that lacks it. The
     // caller is told of success only once it is known that this was not so.
-    session.held = std::make_unique<HeldReply>(HeldReply { .reply = std::move(reply),
+    session.unconfirmed = std::make_unique<UnconfirmedReply>(UnconfirmedReply { .reply = std::move(reply),
         .upstream = place.upstream,
         .term = term,
-        .until = this->now + longestHold });
+        .until = this->now + maxUnconfirmedTime });
     session.work.reset();
-    this->releaseHeld(session);
+    this->resolveUnconfirmed(session);
 }
 
-bool SessionEngine::State::canBeConfirmed(const GroupState& group, const HeldReply& held) const
+bool SessionEngine::State::canBeConfirmed(const GroupState& group, const UnconfirmedReply& unconfirmed) const
 {
     const auto& view = group.view;
     // A view of an earlier term may only be late: one of the answer's own term still shows that it stands.
-    const bool viewIsLate = view.term < held.term;
-    const bool standsInView
-        = view.term == held.term && view.primary == held.upstream && !group.isContradicted(this->now);
-    return view.phase == LeaderView::Phase::Settled && group.newestTerm <= held.term
-        && (viewIsLate || standsInView);
+    const bool viewIsLate = view.term < unconfirmed.term;
+    const bool confirmedByView = view.term == unconfirmed.term && view.primary == unconfirmed.upstream
+        && !group.isContradicted(this->now);
+    return view.phase == LeaderView::Phase::Settled && group.newestTerm <= unconfirmed.term
+        && (viewIsLate || confirmedByView);
 }
 
-void SessionEngine::State::releaseHeld(CallerSession& session)
+void SessionEngine::State::resolveUnconfirmed(CallerSession& session)
 {
     const auto& group = this->group(session.route.service);
-    const auto& held = *session.held;
-    const bool confirmed = group.isLedBy(held.upstream, this->now) && group.view.term == held.term;
-    if (!confirmed && this->canBeConfirmed(group, held) && this->now < held.until)
+    const auto& unconfirmed = *session.unconfirmed;
+    const bool confirmed
+        = group.isLedBy(unconfirmed.upstream, this->now) && group.view.term == unconfirmed.term;
+    if (!confirmed && this->canBeConfirmed(group, unconfirmed) && this->now < unconfirmed.until)
         return;
-    auto reply = std::move(session.held->reply);
+    auto reply = std::move(session.unconfirmed->reply);
     if (!confirmed) {
         ++this->counters.inDoubt;
         this->log("commit_unconfirmed",
             { { "id", session.statementId }, { "service", session.route.service.string() },
-                { "upstream", held.upstream.string() } });
+                { "upstream", unconfirmed.upstream.string() } });
         reply = failureReply(StatementError::InDoubt, "the primary may have been replaced meanwhile");
     }
     this->answer(session, std::move(reply));
--- a/src/pooling/engine_callers.cpp
+++ b/src/pooling/engine_callers.cpp
@@ -41,20 +41,20 @@
     return std::string { reason } + ", retry after " + std::to_string(count) + " ms";
 }
 
-void SessionEngine::State::startCaller(CallerId id, const SessionStart& start)
+void SessionEngine::State::startSession(CallerId id, const SessionStart& start)
 {
     auto& session = this->callers[static_cast<std::uint64_t>(id)];
     session.id = id;
     session.lastActive = this->now;
     const auto* route = this->routes->findRoute(start.database);
     if (route == nullptr) {
-        this->endCaller(
+        this->closeSession(
             id, StatementFailure { StatementError::UnknownDatabase, "there is no such database" });
         return;
     }
     const auto* team = this->routes->findTeam(start.key);
     if (team == nullptr && !route->isPublic) {
-        this->endCaller(id, StatementFailure { StatementError::UnknownKey, "the key is not known" });
+        this->closeSession(id, StatementFailure { StatementError::UnknownKey, "the key is not known" });
         return;
     }
     session.started = true;
@@ -65,49 +65,49 @@
     this->actions.emplace_back(AcceptCaller { id });
 }
 
-void SessionEngine::State::ask(CallerId id, CallerQuery query)
+void SessionEngine::State::receiveStatement(CallerId id, CallerQuery query)
 {
     auto* session = this->findCaller(id);
     if (session == nullptr)
         return;
     session->lastActive = this->now;
-    if (!session->started || session->pending.size() >= this->options.settings.maxPipelinedStatements) {
-        this->endCaller(id,
+    if (!session->started || session->pipelined.size() >= this->options.settings.maxPipelinedStatements) {
+        this->closeSession(id,
             StatementFailure { StatementError::Malformed,
                 session->started ? "too many statements ahead of their answers"
                                  : "the session was not started" });
         return;
     }
-    session->pending.push_back(std::move(query));
-    this->takeNext(*session);
+    session->pipelined.push_back(std::move(query));
+    this->runNextStatement(*session);
 }
 
-void SessionEngine::State::takeNext(CallerSession& session)
+void SessionEngine::State::runNextStatement(CallerSession& session)
 {
     // Answering may end the session, so it is looked up anew each time.
     const auto id = session.id;
     for (auto* current = &session; current != nullptr; current = this->findCaller(id)) {
-        if (current->work || current->held || current->waiting || current->pending.empty())
+        if (current->work || current->unconfirmed || current->waiting || current->pipelined.empty())
             return;
-        auto query = std::move(current->pending.front());
-        current->pending.pop_front();
-        this->run(*current, std::move(query));
+        auto query = std::move(current->pipelined.front());
+        current->pipelined.pop_front();
+        this->runStatement(*current, std::move(query));
     }
 }
 
-void SessionEngine::State::run(CallerSession& session, CallerQuery query)
+void SessionEngine::State::runStatement(CallerSession& session, CallerQuery query)
 {
     session.statementId = query.id;
     const bool ends = std::holds_alternative<CommitTransaction>(query.statement)
         || std::holds_alternative<RollbackTransaction>(query.statement);
     if (session.phase == SessionPhase::FailedTransaction) {
-        const bool untold = std::exchange(session.abortUntold, false);
+        const bool unreported = std::exchange(session.abortUnreported, false);
         if (ends) {
             session.phase = SessionPhase::Idle;
             const bool commit = std::holds_alternative<CommitTransaction>(query.statement);
             this->answer(session,
                 commit ? failureReply(StatementError::Aborted, "the transaction had failed") : ownReply());
-        } else if (untold) {
+        } else if (unreported) {
             this->answer(session, failureReply(StatementError::Aborted, "the transaction was dropped"));
         } else {
             this->answer(session, failureReply(StatementError::Malformed, "the transaction has failed"));
@@ -120,20 +120,20 @@
         return this->rollback(session);
     if (std::holds_alternative<CommitTransaction>(query.statement)) {
         session.arrivedAt = this->now;
-        return this->runData(session, std::move(query), StatementKind::Commit);
+        return this->runOnUpstream(session, std::move(query), StatementKind::Commit);
     }
     const bool begins = std::holds_alternative<BeginTransaction>(query.statement);
     const auto* execute = std::get_if<ExecutePrepared>(&query.statement);
-    const bool touchesData = std::holds_alternative<ReadItem>(query.statement)
+    const bool needsUpstream = std::holds_alternative<ReadItem>(query.statement)
         || std::holds_alternative<WriteItem>(query.statement) || execute != nullptr;
     if (begins && session.phase != SessionPhase::Idle)
         return this->answer(session, failureReply(StatementError::Malformed, "a transaction is open"));
     if (execute != nullptr && !session.state.prepared.contains(execute->name))
         return this->answer(
             session, failureReply(StatementError::UnknownStatement, "no statement has that name"));
-    if (begins || (touchesData && session.phase == SessionPhase::Idle))
+    if (begins || (needsUpstream && session.phase == SessionPhase::Idle))
         return this->startOperation(session, std::move(query));
-    if (touchesData) {
+    if (needsUpstream) {
         session.arrivedAt = this->now;
         return this->runOperation(session, std::move(query));
     }
@@ -182,32 +182,32 @@
         return this->runOperation(session, std::move(query));
     auto& budget = this->budgets[session.team];
     if (budget.waiting.empty() && budget.share.tryTake(this->now)) {
-        session.charged = true;
+        session.tokenSpent = true;
         return this->runOperation(session, std::move(query));
     }
-    this->waitForBudget(session, budget, std::move(query));
+    this->queueForToken(session, budget, std::move(query));
 }
 
-void SessionEngine::State::waitForBudget(CallerSession& session, Budget& budget, CallerQuery query)
+void SessionEngine::State::queueForToken(CallerSession& session, Budget& budget, CallerQuery query)
 {
-    const auto patience = session.route.targetLatency / this->options.settings.admissionWaitDivisor;
-    const auto place = this->placeInLine(budget, session.route.priority);
-    const auto ahead = std::distance(budget.waiting.begin(), place);
+    const auto maxWait = session.route.targetLatency / this->options.settings.admissionWaitDivisor;
+    const auto position = this->queuePosition(budget, session.route.priority);
+    const auto ahead = std::distance(budget.waiting.begin(), position);
     // Siblings that had nothing a moment ago have nothing now: what this VM's own share will not let in soon
     // enough is refused at once.
-    const auto ownTime = budget.share.timeToNext(this->now) * static_cast<int>(ahead + 1);
-    const bool siblingsSpent = !budget.asking && this->now < budget.askAgainAt;
-    if (siblingsSpent && ownTime > patience) {
-        this->refuse(session, StatementError::Busy, adviceText("the team is over its rate", ownTime));
+    const auto ownWait = budget.share.timeToNext(this->now) * static_cast<int>(ahead + 1);
+    const bool siblingsHaveNone = !budget.requestingTokens && this->now < budget.nextTokenRequestAt;
+    if (siblingsHaveNone && ownWait > maxWait) {
+        this->refuse(session, StatementError::Busy, adviceText("the team is over its rate", ownWait));
         return;
     }
     session.waiting = std::make_unique<WaitingOperation>(
-        WaitingOperation { .query = std::move(query), .until = this->now + patience });
-    budget.waiting.insert(place, session.id);
+        WaitingOperation { .query = std::move(query), .until = this->now + maxWait });
+    budget.waiting.insert(position, session.id);
     this->admitWaiting(session.team, budget);
 }
 
-std::deque<CallerId>::iterator SessionEngine::State::placeInLine(Budget& budget, std::uint32_t priority)
+std::deque<CallerId>::iterator SessionEngine::State::queuePosition(Budget& budget, std::uint32_t priority)
 {
     // A team that asks for several times its rate has most of it refused. In order of arrival what waits
     // longest would get in, which is what has the most time; urgent operations, with the least patience,
@@ -231,13 +231,13 @@
         budget.waiting.pop_front();
         auto query = std::move(session->waiting->query);
         session->waiting.reset();
-        session->charged = true;
+        session->tokenSpent = true;
         this->runOperation(*session, std::move(query));
     }
-    this->refuseOverRate(budget);
-    if (budget.waiting.empty() || budget.asking || this->now < budget.askAgainAt)
+    this->refuseOverdueOperations(budget);
+    if (budget.waiting.empty() || budget.requestingTokens || this->now < budget.nextTokenRequestAt)
         return;
-    budget.asking = true;
+    budget.requestingTokens = true;
     // One more than wait now spares the next caller the round trip. A VM without a part of its own asks for
     // no more than it needs: what each of 70 VMs kept at hand would let a team go far beyond its limit at
     // once.
@@ -246,7 +246,7 @@
     this->actions.emplace_back(RequestTokens { .team = team, .wanted = wanted });
 }
 
-void SessionEngine::State::refuseOverRate(Budget& budget)
+void SessionEngine::State::refuseOverdueOperations(Budget& budget)
 {
     std::vector<CallerId> overdue;
     for (const auto id : budget.waiting) {
@@ -272,7 +272,7 @@
     const auto* execute = std::get_if<ExecutePrepared>(&query.statement);
     const bool writes = execute != nullptr ? session.state.prepared.at(execute->name).writes
                                            : std::holds_alternative<WriteItem>(query.statement);
-    this->runData(session, std::move(query), writes ? StatementKind::Write : StatementKind::Read);
+    this->runOnUpstream(session, std::move(query), writes ? StatementKind::Write : StatementKind::Read);
 }
 
 void SessionEngine::State::begin(CallerSession& session, const BeginTransaction& wanted)
@@ -292,7 +292,7 @@
     this->answer(session, ownReply());
 }
 
-void SessionEngine::State::runData(CallerSession& session, CallerQuery query, StatementKind kind)
+void SessionEngine::State::runOnUpstream(CallerSession& session, CallerQuery query, StatementKind kind)
 {
     const bool inTransaction = session.phase == SessionPhase::InTransaction;
     const bool primaryRoute = std::holds_alternative<PrimaryRoute>(session.route.freshness);
@@ -302,7 +302,8 @@
         .needsPrimary = primaryRoute || plainTransaction || kind == StatementKind::Write,
         .opensTransaction = inTransaction && !session.pinned && !session.owner,
         .arrivedAt = session.arrivedAt,
-        .offerBy = session.arrivedAt + std::min(session.route.targetLatency, session.route.statementTimeout),
+        .dispatchDeadline
+        = session.arrivedAt + std::min(session.route.targetLatency, session.route.statementTimeout),
         .deadline = session.arrivedAt + session.route.statementTimeout };
     if (const auto* execute = std::get_if<ExecutePrepared>(&work.query.statement))
         work.shape = session.state.prepared.at(execute->name);
@@ -315,7 +316,7 @@
 
 void SessionEngine::State::endTransaction(CallerSession& session)
 {
-    this->letGuestGo(session);
+    this->releaseRemoteSession(session);
     if (!session.pinned)
         return;
     auto* connection = this->findConnection(*session.pinned);
@@ -332,10 +333,10 @@
 void SessionEngine::State::abortTransaction(CallerSession& session, const char* reason)
 {
     if (session.remoteSession)
-        return this->endGuest(session, reason);
+        return this->endRemoteSession(session, reason);
     this->endTransaction(session);
     session.phase = SessionPhase::FailedTransaction;
-    session.abortUntold = true;
+    session.abortUnreported = true;
     this->log("transaction_aborted",
         { { "id", session.statementId }, { "database", session.database }, { "reason", reason } });
 }
@@ -343,7 +344,7 @@
 void SessionEngine::State::refuse(CallerSession& session, StatementError error, std::string text)
 {
     ++this->counters.refused;
-    this->giveBackCharge(session);
+    this->refundToken(session);
     if (session.work) {
         this->log("refused",
             { { "id", session.work->query.id }, { "service", session.route.service.string() },
@@ -361,33 +362,33 @@
     this->answer(session, failureReply(error, std::move(text)));
 }
 
-void SessionEngine::State::giveBackCharge(CallerSession& session)
+void SessionEngine::State::refundToken(CallerSession& session)
 {
     // What no upstream has run does not count against the limit; a caller that comes back would pay twice.
-    if (std::exchange(session.charged, false))
+    if (std::exchange(session.tokenSpent, false))
         this->budgets[session.team].share.receive(1, this->now);
 }
 
-void SessionEngine::State::noteOwnWrite(CallerSession& session, const Progress& progress, Instant at)
+void SessionEngine::State::recordOwnWrite(CallerSession& session, const Progress& progress, Instant at)
 {
     session.requiredProgress = progress;
-    session.floorAt = at;
-    session.floorService = session.route.service;
+    session.requiredProgressAt = at;
+    session.requiredProgressService = session.route.service;
 }
 
 void SessionEngine::State::answer(CallerSession& session, Reply reply)
 {
     if (session.remoteSession)
-        return this->answerGuest(session, std::move(reply));
+        return this->answerRemoteSession(session, std::move(reply));
     session.work.reset();
-    session.held.reset();
+    session.unconfirmed.reset();
     session.waiting.reset();
     session.lastActive = this->now;
     reply.phase = session.phase;
     ++this->counters.answered;
     this->actions.emplace_back(AnswerCaller { .caller = session.id, .reply = std::move(reply) });
     if (!this->closeIfDraining(session))
-        this->takeNext(session);
+        this->runNextStatement(session);
 }
 
 bool SessionEngine::State::closeIfDraining(CallerSession& session)
@@ -397,22 +398,22 @@
     // A caller that has just connected is about to ask; it would take the end of its session for a failure.
     if (!session.started && this->now < session.lastActive + this->options.settings.sessionStartTimeout)
         return false;
-    this->endCaller(session.id, std::nullopt);
+    this->closeSession(session.id, std::nullopt);
     return true;
 }
 
-void SessionEngine::State::endCaller(CallerId id, std::optional<StatementFailure> failure)
+void SessionEngine::State::closeSession(CallerId id, std::optional<StatementFailure> failure)
 {
     this->actions.emplace_back(CloseCaller { .caller = id, .failure = std::move(failure) });
-    this->leave(id);
+    this->removeSession(id);
 }
 
-void SessionEngine::State::leave(CallerId id)
+void SessionEngine::State::removeSession(CallerId id)
 {
     auto* session = this->findCaller(id);
     if (session == nullptr)
         return;
-    this->letGuestGo(*session);
+    this->releaseRemoteSession(*session);
     const auto connectionId = session->pinned ? session->pinned
         : session->work                       ? session->work->connection
                                               : std::optional<ConnectionId> {};
--- a/src/pooling/engine_connections.cpp
+++ b/src/pooling/engine_connections.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-Duration doubled(Duration first, int times, Duration most)
+Duration exponentialBackoff(Duration first, int times, Duration maximum)
 {
-    return std::min(first * (1 << std::min(times, 10)), most);
+    return std::min(first * (1 << std::min(times, 10)), maximum);
 }
 
 } // namespace
@@ -21,14 +21,14 @@
         return;
     Reply greeting;
     greeting.progress = progress;
-    this->noteAnswer(*connection, greeting);
+    this->recordAnswer(*connection, greeting);
     auto* session = connection->user ? this->findCaller(*connection->user) : nullptr;
     if (session == nullptr) {
         this->release(*connection);
         return;
     }
     connection->phase = PooledConnection::Phase::Working;
-    this->serveOn(*connection, *session);
+    this->runOn(*connection, *session);
 }
 
 void SessionEngine::State::refusedToOpen(ConnectionId id, StatementError error)
@@ -40,9 +40,9 @@
     upstream.lastAnswer = this->now;
     upstream.failingSince.reset();
     if (error == StatementError::TooManyConnections)
-        upstream.keepToShareUntil = this->now + this->options.settings.borrowBackoff;
+        upstream.noBorrowingUntil = this->now + this->options.settings.borrowBackoff;
     if (error == StatementError::WrongInstance)
-        this->noteFailure(upstream);
+        this->recordConnectFailure(upstream);
     auto* session = connection->user ? this->findCaller(*connection->user) : nullptr;
     const auto name = connection->upstream;
     this->erase(id);
@@ -59,7 +59,7 @@
     // A connection that was open and is cut says little of its upstream: something between may have cut it,
     // and a new one works at once. One that could not be opened says more.
     if (connection->phase == PooledConnection::Phase::Opening)
-        this->noteFailure(upstream);
+        this->recordConnectFailure(upstream);
     else if (connection->phase == PooledConnection::Phase::Working && !upstream.failingSince)
         upstream.failingSince = this->now;
     const auto name = connection->upstream;
@@ -87,15 +87,15 @@
         return;
     }
     if (step == StepKind::Main)
-        this->loseWork(*session, step, "the connection was lost");
+        this->handleLostAnswer(*session, step, "the connection was lost");
     else
         this->retry(*session, name, this->options.settings.reconnectBackoff, StatementError::Busy);
 }
 
-void SessionEngine::State::loseWork(CallerSession& session, StepKind step, const char* reason)
+void SessionEngine::State::handleLostAnswer(CallerSession& session, StepKind step, const char* reason)
 {
     const auto& work = *session.work;
-    session.charged = false;
+    session.tokenSpent = false;
     this->log("answer_lost",
         { { "id", work.query.id }, { "service", session.route.service.string() }, { "reason", reason },
             { "sent", step == StepKind::Main ? "yes" : "no" } });
@@ -111,7 +111,7 @@
             session, failureReply(StatementError::InDoubt, "the commit may have taken effect"));
     }
     if (inTransaction) {
-        this->letGuestGo(session);
+        this->releaseRemoteSession(session);
         session.phase = SessionPhase::FailedTransaction;
         return this->answer(session, failureReply(StatementError::Aborted, reason));
     }
@@ -128,7 +128,7 @@
 }
 
 void SessionEngine::State::retry(
-    CallerSession& session, const UpstreamName& avoided, Duration pause, StatementError reason)
+    CallerSession& session, const UpstreamName& skipped, Duration pause, StatementError reason)
 {
     auto& work = *session.work;
     work.connection.reset();
@@ -137,11 +137,11 @@
     if (reason != StatementError::TooManyConnections)
         ++work.attempts;
     ++this->counters.retried;
-    if (!avoided.empty())
-        work.avoided.add(avoided, this->now + pause);
+    if (!skipped.empty())
+        work.skipped.add(skipped, this->now + pause);
     if (work.attempts >= this->options.settings.attempts || this->now >= work.deadline) {
         this->log("given_up",
-            { { "id", work.query.id }, { "upstream", avoided.string() },
+            { { "id", work.query.id }, { "upstream", skipped.string() },
                 { "error", std::to_string(static_cast<int>(reason)) } });
         this->refuse(session, StatementError::Busy,
             adviceText("no upstream could run it", this->options.settings.overloadRetryAfter));
@@ -194,17 +194,18 @@
         if (session.pinned)
             this->dropTransaction(session, "the primary no longer leads");
         else
-            this->takeBack(connection, session);
+            this->requeueElsewhere(connection, session);
         return false;
     }
     auto& step = connection.steps.front();
     auto& group = this->group(connection.service);
     const bool leads = group.isLedBy(connection.upstream, this->now);
     const bool covered = leads || session.pinned;
-    const auto needed = covered ? std::optional<NeededProgress> {} : this->neededProgress(group, session);
-    const auto position = needed ? std::optional { needed->progress } : std::nullopt;
+    const auto requirement
+        = covered ? std::optional<ReplicaRequirement> {} : this->replicaRequirement(group, session);
+    const auto position = requirement ? std::optional { requirement->progress } : std::nullopt;
     if (!session.pinned)
-        connection.restsOn = leads ? std::optional { group.view.term } : std::nullopt;
+        connection.viewTerm = leads ? std::optional { group.view.term } : std::nullopt;
     if (auto* open = std::get_if<OpenTransaction>(&step.statement))
         open->after = position;
     if (auto* pass = std::get_if<RelayStatement>(&step.statement))
@@ -220,7 +221,7 @@
     this->answer(session, failureReply(StatementError::Aborted, reason));
 }
 
-void SessionEngine::State::takeBack(PooledConnection& connection, CallerSession& session)
+void SessionEngine::State::requeueElsewhere(PooledConnection& connection, CallerSession& session)
 {
     const auto name = connection.upstream;
     connection.steps.clear();
@@ -235,12 +236,12 @@
     // Inside an open transaction the upstream itself refuses what its lost lead forbids, and a read sees what
     // the transaction saw when it was opened. A newer primary may have led then already.
     if (session.pinned && session.work->kind == StatementKind::Read)
-        return !connection.restsOn || *connection.restsOn >= group.newestTerm;
+        return !connection.viewTerm || *connection.viewTerm >= group.newestTerm;
     if (session.pinned)
         return group.isLedBy(connection.upstream, this->now) || session.transactionReadOnly;
     if (group.isLedBy(connection.upstream, this->now))
         return true;
-    return !session.work->needsPrimary && this->neededProgress(group, session).has_value();
+    return !session.work->needsPrimary && this->replicaRequirement(group, session).has_value();
 }
 
 void SessionEngine::State::replied(ConnectionId id, Reply reply)
@@ -254,7 +255,7 @@
         this->lost(id);
         return;
     }
-    this->noteAnswer(*connection, reply);
+    this->recordAnswer(*connection, reply);
     const auto kind = connection->sent.front();
     if (kind == StepKind::Setup && reply.failure) {
         // What is in place on the connection is not known any more; a statement must not run there.
@@ -290,7 +291,7 @@
 {
     auto* session = connection.user ? this->findCaller(*connection.user) : nullptr;
     if (reply.failure) {
-        this->noteNotRun(connection, reply.failure->error);
+        this->recordNotRun(connection, reply.failure->error);
         const auto name = connection.upstream;
         const auto error = reply.failure->error;
         const bool clean = reply.phase == SessionPhase::Idle;
@@ -305,39 +306,39 @@
         return;
     }
     connection.inTransaction = true;
-    const bool outlived = connection.outlivedView(reply);
-    if (session == nullptr || outlived) {
+    const bool laterTerm = connection.isFromLaterTerm(reply);
+    if (session == nullptr || laterTerm) {
         connection.user.reset();
         connection.steps.assign(1, { .kind = StepKind::Drop, .statement = DropTransaction {} });
     } else {
-        session->charged = false;
+        session->tokenSpent = false;
         session->pinned = connection.id;
         session->work->opensTransaction = false;
     }
     this->sendNext(connection);
     // Nothing has run in the transaction, which may be opened anew elsewhere.
-    if (session != nullptr && outlived)
+    if (session != nullptr && laterTerm)
         this->retry(*session, UpstreamName {}, Duration {}, StatementError::Busy);
 }
 
 void SessionEngine::State::release(PooledConnection& connection)
 {
     if (connection.phase != PooledConnection::Phase::Idle)
-        --this->upstreamOf(connection).working;
+        --this->upstreamOf(connection).connectionsInUse;
     connection.phase = PooledConnection::Phase::Idle;
     connection.idleSince = this->now;
     connection.user.reset();
     connection.inTransaction = false;
     auto& upstream = this->upstreamOf(connection);
     const bool beyondShare = upstream.connections.size() > this->connectionShareOf(upstream);
-    const bool mustShrink = beyondShare && this->now < upstream.keepToShareUntil;
+    const bool mustShrink = beyondShare && this->now < upstream.noBorrowingUntil;
     const bool unusable = !upstream.listed || upstream.entry.draining;
     const auto service = connection.service;
     if (mustShrink || unusable)
         this->close(connection);
     else
-        this->serveOwnTeam(connection);
-    this->pump(this->group(service));
+        this->serveSameTeam(connection);
+    this->dispatchWaiting(this->group(service));
 }
 
 void SessionEngine::State::close(PooledConnection& connection)
@@ -352,24 +353,24 @@
     auto& group = this->group(connection->service);
     auto& upstream = this->upstreamOf(*connection);
     if (connection->phase != PooledConnection::Phase::Idle)
-        --upstream.working;
+        --upstream.connectionsInUse;
     std::erase(upstream.connections, id);
     if (!upstream.listed && upstream.connections.empty())
         group.upstreams.erase(connection->upstream);
     this->connections.erase(static_cast<std::uint64_t>(id));
 }
 
-void SessionEngine::State::noteFailure(UpstreamState& upstream)
+void SessionEngine::State::recordConnectFailure(UpstreamState& upstream)
 {
-    upstream.downUntil = this->now
-        + doubled(this->options.settings.reconnectBackoff, upstream.failures,
+    upstream.unreachableUntil = this->now
+        + exponentialBackoff(this->options.settings.reconnectBackoff, upstream.failures,
             this->options.settings.maxReconnectBackoff);
     ++upstream.failures;
     if (!upstream.failingSince)
         upstream.failingSince = this->now;
 }
 
-void SessionEngine::State::noteAnswer(PooledConnection& connection, const Reply& reply)
+void SessionEngine::State::recordAnswer(PooledConnection& connection, const Reply& reply)
 {
     auto& group = this->group(connection.service);
     auto& upstream = this->upstreamOf(connection);
@@ -381,19 +382,19 @@
         upstream.limit.onAnswer(this->now - connection.sentAt);
     if (!reply.progress)
         return;
-    upstream.known = std::max(upstream.known, *reply.progress);
-    upstream.lag = group.history.lagOf(upstream.known, this->now);
+    upstream.knownProgress = std::max(upstream.knownProgress, *reply.progress);
+    upstream.lag = group.history.lagOf(upstream.knownProgress, this->now);
     if (upstream.lag < this->options.settings.laggingBackoff) {
-        upstream.laggingTimes = 0;
+        upstream.laggingCount = 0;
         upstream.laggingUntil = Instant::min();
     }
-    this->noteTerm(group, this->sourceOf(connection), reply.progress->term);
+    this->recordTerm(group, this->sourceOf(connection), reply.progress->term);
     // The position speaks for the time at which the statement went out, if the view held then.
     if (group.isLedBy(connection.upstream, connection.sentAt) && reply.progress->term == group.view.term)
         group.history.record({ .progress = *reply.progress, .seenAt = connection.sentAt });
 }
 
-void SessionEngine::State::noteNotRun(PooledConnection& connection, StatementError error)
+void SessionEngine::State::recordNotRun(PooledConnection& connection, StatementError error)
 {
     auto& upstream = this->upstreamOf(connection);
     if (error == StatementError::Busy) {
@@ -402,12 +403,12 @@
     }
     if (error == StatementError::Lagging) {
         upstream.laggingUntil = this->now
-            + doubled(this->options.settings.laggingBackoff, upstream.laggingTimes,
+            + exponentialBackoff(this->options.settings.laggingBackoff, upstream.laggingCount,
                 this->options.settings.maxLaggingBackoff);
-        ++upstream.laggingTimes;
+        ++upstream.laggingCount;
     }
     if (error == StatementError::ReadOnly)
-        this->noteRefusedLead(connection);
+        this->recordLeadRefusal(connection);
 }
 
 void SessionEngine::State::checkTimeouts()
@@ -426,7 +427,7 @@
     }
 }
 
-void SessionEngine::State::closeSpareConnections()
+void SessionEngine::State::closeIdleConnections()
 {
     const auto& settings = this->options.settings;
     std::vector<ConnectionId> idle;
@@ -437,10 +438,10 @@
     for (const auto id : idle) {
         auto& connection = this->connections.at(static_cast<std::uint64_t>(id));
         const auto& upstream = this->upstreamOf(connection);
-        const bool atHome = this->homesFor(this->connectionCapOf(connection.service)) != nullptr;
-        const auto kept = atHome ? settings.ownerIdleTimeout : settings.idleTimeout;
-        const bool spare = this->now - connection.idleSince >= kept;
-        if (spare || !upstream.listed || upstream.entry.draining)
+        const bool hasOwners = this->ownersFor(this->connectionCapOf(connection.service)) != nullptr;
+        const auto timeout = hasOwners ? settings.ownerIdleTimeout : settings.idleTimeout;
+        const bool idleTooLong = this->now - connection.idleSince >= timeout;
+        if (idleTooLong || !upstream.listed || upstream.entry.draining)
             this->close(connection);
     }
 }
--- a/src/pooling/engine_contradictions.cpp
+++ b/src/pooling/engine_contradictions.cpp
@@ -4,7 +4,7 @@
 
 namespace cyclamendrift {
 
-void SessionEngine::State::noteTerm(GroupState& group, const TermSource& source, Term term)
+void SessionEngine::State::recordTerm(GroupState& group, const TermSource& source, Term term)
 {
     if (term > group.view.term)
         group.contradictedAt = this->now;
@@ -17,16 +17,16 @@
     group.newestTerm = std::max(group.newestTerm, term);
 }
 
-void SessionEngine::State::noteRefusedLead(const PooledConnection& connection)
+void SessionEngine::State::recordLeadRefusal(const PooledConnection& connection)
 {
     auto& group = this->group(connection.service);
     const auto& view = group.view;
     // A refusal speaks of the view under which the refused statement was sent. Its upstream may have been
     // promoted since, and the present view be right.
     if (view.phase != LeaderView::Phase::Settled || view.primary != connection.upstream
-        || connection.restsOn != view.term)
+        || connection.viewTerm != view.term)
         return;
-    group.refusedLead = { .upstream = view.primary, .term = view.term };
+    group.leadRefusal = { .upstream = view.primary, .term = view.term };
     group.contradictedAt = this->now;
     this->logContradiction(group, this->sourceOf(connection), view.term, "refused to act as primary");
 }
--- a/src/pooling/engine_dispatch.cpp
+++ b/src/pooling/engine_dispatch.cpp
@@ -10,16 +10,16 @@
 
 // Costs of serving a read at an upstream, in statements that this VM already has there. Opening a connection
 // takes about half of a short statement's time at the upstream and a round trip more.
-constexpr double openingCost = 0.6;
+constexpr double connectionOpeningCost = 0.6;
 // The primary alone can take writes, so reads go elsewhere while the difference is small.
-constexpr double primaryCost = 0.8;
+constexpr double primaryReadCost = 0.8;
 // Another availability zone adds a round trip of 2 ms, small against a statement's 10 to 40 ms.
-constexpr double otherZoneCost = 0.1;
+constexpr double crossZoneCost = 0.1;
 // A refusal by a replica that is behind costs a round trip and a place at the next upstream.
-constexpr double behindCost = 0.6;
+constexpr double laggingReplicaCost = 0.6;
 
 // One connection stays free for asking after the upstream's status.
-std::size_t usableOf(std::uint32_t connectionCap)
+std::size_t usableConnections(std::uint32_t connectionCap)
 {
     return connectionCap > 1 ? connectionCap - 1 : connectionCap;
 }
@@ -35,17 +35,17 @@
         return;
     }
     group.waiting.push_back(session.id);
-    this->pump(group);
+    this->dispatchWaiting(group);
 }
 
 bool SessionEngine::State::isLeaderless(const GroupState& group, const CallerSession& session) const
 {
     // A replica can only be named a position to read at when one was seen while the primary was known to
     // lead. After a restart there is none, and reads depend on the primary as writes do.
-    return !group.hasLeader(this->now) && !this->neededProgress(group, session);
+    return !group.hasLeader(this->now) && !this->replicaRequirement(group, session);
 }
 
-void SessionEngine::State::pump(GroupState& group)
+void SessionEngine::State::dispatchWaiting(GroupState& group)
 {
     if (group.waiting.empty())
         return;
@@ -62,46 +62,47 @@
         auto* session = this->findCaller(id);
         if (session == nullptr || !session->work || session->work->connection)
             continue;
-        this->assign(group, *session);
+        this->assignUpstream(group, *session);
     }
 }
 
-void SessionEngine::State::serveOwnTeam(PooledConnection& connection)
+void SessionEngine::State::serveSameTeam(PooledConnection& connection)
 {
     auto& group = this->group(connection.service);
     const auto& upstream = this->upstreamOf(connection);
     const CallerSession* first = nullptr;
-    CallerSession* own = nullptr;
+    CallerSession* sameTeam = nullptr;
     for (const auto id : group.waiting) {
         auto* session = this->findCaller(id);
         if (session == nullptr || !session->work || session->work->connection
-            || !this->canServe(group, upstream, *session, this->neededProgress(group, *session)))
+            || !this->canServe(group, upstream, *session, this->replicaRequirement(group, *session)))
             continue;
         if (first == nullptr)
             first = session;
-        if (own == nullptr && session->team == connection.team)
-            own = session;
+        if (sameTeam == nullptr && session->team == connection.team)
+            sameTeam = session;
     }
-    if (own == nullptr || first->route.priority < own->route.priority)
+    if (sameTeam == nullptr || first->route.priority < sameTeam->route.priority)
         return;
-    if (own->work->arrivedAt > first->work->arrivedAt + this->options.settings.teamAffinityWindow)
+    if (sameTeam->work->arrivedAt > first->work->arrivedAt + this->options.settings.teamAffinityWindow)
         return;
-    std::erase(group.waiting, own->id);
-    this->serveOn(connection, *own);
+    std::erase(group.waiting, sameTeam->id);
+    this->runOn(connection, *sameTeam);
 }
 
-void SessionEngine::State::assign(GroupState& group, CallerSession& session)
+void SessionEngine::State::assignUpstream(GroupState& group, CallerSession& session)
 {
-    const auto needed = this->neededProgress(group, session);
+    const auto requirement = this->replicaRequirement(group, session);
     UpstreamState* best = nullptr;
     double bestCost = std::numeric_limits<double>::infinity();
     for (auto& [name, upstream] : group.upstreams) {
-        if (!this->canServe(group, upstream, session, needed))
+        if (!this->canServe(group, upstream, session, requirement))
             continue;
         const bool idle = this->idleConnection(upstream, session.team) != nullptr;
-        if (!idle && !this->hasRoom(upstream))
+        if (!idle && !this->canOpenConnection(upstream))
             continue;
-        const auto cost = this->costOf(group, upstream, session, needed) + (idle ? 0 : openingCost);
+        const auto cost
+            = this->costOf(group, upstream, session, requirement) + (idle ? 0 : connectionOpeningCost);
         if (cost < bestCost) {
             best = &upstream;
             bestCost = cost;
@@ -111,29 +112,29 @@
         return;
     std::erase(group.waiting, session.id);
     if (auto* connection = this->idleConnection(*best, session.team))
-        this->serveOn(*connection, session);
+        this->runOn(*connection, session);
     else
-        this->openFor(group, *best, session);
+        this->openConnectionFor(group, *best, session);
 }
 
 bool SessionEngine::State::canServe(const GroupState& group, const UpstreamState& upstream,
-    const CallerSession& session, const std::optional<NeededProgress>& needed) const
+    const CallerSession& session, const std::optional<ReplicaRequirement>& requirement) const
 {
     if (!upstream.listed || upstream.entry.draining)
         return false;
-    if (this->now < upstream.downUntil || this->now < upstream.busyUntil)
+    if (this->now < upstream.unreachableUntil || this->now < upstream.busyUntil)
         return false;
     if (this->runningAt(upstream) >= upstream.limit.current())
         return false;
-    if (session.work->avoided.contains(upstream.entry.name, this->now))
+    if (session.work->skipped.contains(upstream.entry.name, this->now))
         return false;
     if (group.isLedBy(upstream.entry.name, this->now))
         return true;
-    if (!needed)
+    if (!requirement)
         return false;
     // A replica that is not believed to have caught up is asked now and then all the same: nothing else would
     // show that it has.
-    return this->hasCaughtUp(upstream, *needed) || this->now >= upstream.laggingUntil;
+    return this->hasCaughtUp(upstream, *requirement) || this->now >= upstream.laggingUntil;
 }
 
 std::size_t SessionEngine::State::runningAt(const UpstreamState& upstream) const
@@ -145,15 +146,16 @@
         }));
 }
 
-bool SessionEngine::State::hasCaughtUp(const UpstreamState& upstream, const NeededProgress& needed) const
+bool SessionEngine::State::hasCaughtUp(
+    const UpstreamState& upstream, const ReplicaRequirement& requirement) const
 {
-    if (upstream.known >= needed.progress)
+    if (upstream.knownProgress >= requirement.progress)
         return true;
     const bool refusedLately = this->now < upstream.laggingUntil;
-    return !refusedLately && this->now - upstream.lag >= needed.at;
+    return !refusedLately && this->now - upstream.lag >= requirement.at;
 }
 
-std::optional<NeededProgress> SessionEngine::State::neededProgress(
+std::optional<ReplicaRequirement> SessionEngine::State::replicaRequirement(
     const GroupState& group, const CallerSession& session) const
 {
     if (session.work->needsPrimary)
@@ -164,28 +166,30 @@
     const auto fresh = group.history.oldestCovering(this->now - staleness);
     if (!fresh)
         return std::nullopt;
-    const NeededProgress needed { .progress = fresh->progress, .at = fresh->seenAt };
+    const ReplicaRequirement requirement { .progress = fresh->progress, .at = fresh->seenAt };
     const bool ownWrites = std::holds_alternative<ReadOwnWritesRoute>(session.route.freshness);
-    if (!ownWrites || !session.requiredProgress || session.floorService != session.route.service)
-        return needed;
+    if (!ownWrites || !session.requiredProgress || session.requiredProgressService != session.route.service)
+        return requirement;
     // A write of an earlier term is either in the log of every upstream of the newer term or was dropped by
     // the promotion, so the position of the newer term stands for it.
-    if (session.requiredProgress->term < needed.progress.term || *session.requiredProgress <= needed.progress)
-        return needed;
-    return NeededProgress { .progress = *session.requiredProgress, .at = session.floorAt };
+    if (session.requiredProgress->term < requirement.progress.term
+        || *session.requiredProgress <= requirement.progress)
+        return requirement;
+    return ReplicaRequirement { .progress = *session.requiredProgress, .at = session.requiredProgressAt };
 }
 
 double SessionEngine::State::costOf(const GroupState& group, const UpstreamState& upstream,
-    const CallerSession& session, const std::optional<NeededProgress>& needed) const
+    const CallerSession& session, const std::optional<ReplicaRequirement>& requirement) const
 {
-    double cost = upstream.working;
+    double cost = upstream.connectionsInUse;
     if (upstream.entry.zone != this->options.zone)
-        cost += otherZoneCost;
+        cost += crossZoneCost;
     if (!session.work->needsPrimary && group.view.primary == upstream.entry.name)
-        cost += primaryCost;
+        cost += primaryReadCost;
     // A replica that is behind as far as known is asked last: it would only say so.
-    if (needed && group.view.primary != upstream.entry.name && !this->hasCaughtUp(upstream, *needed))
-        cost += behindCost;
+    if (requirement && group.view.primary != upstream.entry.name
+        && !this->hasCaughtUp(upstream, *requirement))
+        cost += laggingReplicaCost;
     return cost;
 }
 
@@ -200,49 +204,50 @@
     return nullptr;
 }
 
-PooledConnection* SessionEngine::State::oldestIdle(const UpstreamState& upstream)
+PooledConnection* SessionEngine::State::longestIdleConnection(const UpstreamState& upstream)
 {
-    PooledConnection* oldest = nullptr;
+    PooledConnection* longestIdle = nullptr;
     for (const auto id : upstream.connections) {
         auto* candidate = this->findConnection(id);
         const bool idle = candidate != nullptr && candidate->phase == PooledConnection::Phase::Idle;
-        if (idle && (oldest == nullptr || candidate->idleSince < oldest->idleSince))
-            oldest = candidate;
+        if (idle && (longestIdle == nullptr || candidate->idleSince < longestIdle->idleSince))
+            longestIdle = candidate;
     }
-    return oldest;
+    return longestIdle;
 }
 
-bool SessionEngine::State::hasRoom(const UpstreamState& upstream)
+bool SessionEngine::State::canOpenConnection(const UpstreamState& upstream)
 {
-    return upstream.connections.size() < this->allowedAt(upstream) || this->oldestIdle(upstream) != nullptr;
+    return upstream.connections.size() < this->maxConnectionsAt(upstream)
+        || this->longestIdleConnection(upstream) != nullptr;
 }
 
-std::size_t SessionEngine::State::allowedAt(const UpstreamState& upstream) const
+std::size_t SessionEngine::State::maxConnectionsAt(const UpstreamState& upstream) const
 {
-    const bool borrows = this->now >= upstream.keepToShareUntil;
+    const bool borrows = this->now >= upstream.noBorrowingUntil;
     return this->connectionShareOf(upstream) + (borrows ? this->options.settings.maxBorrowedConnections : 0);
 }
 
 std::size_t SessionEngine::State::connectionShareOf(const UpstreamState& upstream) const
 {
     const auto cap = this->connectionCapOf(upstream.entry.service);
-    if (auto* owners = this->homesFor(cap))
+    if (auto* owners = this->ownersFor(cap))
         return owners->connectionShareOf(upstream.entry.service, cap);
     if (this->place.vms == 0)
         return 1;
     const auto vms = this->place.vms;
     // What does not divide evenly goes to other VMs at each upstream.
     const auto turn = std::hash<std::string_view> {}(upstream.entry.name.view());
-    const bool extra = (this->place.rank + turn) % vms < usableOf(cap) % vms;
-    return std::max<std::size_t>(this->ownPartOf(cap) + (extra ? 1 : 0), 1);
+    const bool extra = (this->place.rank + turn) % vms < usableConnections(cap) % vms;
+    return std::max<std::size_t>(this->evenShareOf(cap) + (extra ? 1 : 0), 1);
 }
 
-std::size_t SessionEngine::State::ownPartOf(std::uint32_t connectionCap) const
+std::size_t SessionEngine::State::evenShareOf(std::uint32_t connectionCap) const
 {
-    return this->place.vms == 0 ? 0 : usableOf(connectionCap) / this->place.vms;
+    return this->place.vms == 0 ? 0 : usableConnections(connectionCap) / this->place.vms;
 }
 
-std::size_t SessionEngine::State::keptAt(const UpstreamState& upstream) const
+std::size_t SessionEngine::State::connectionsKeptAt(const UpstreamState& upstream) const
 {
     // When all VMs lose power, an upstream takes what they had open for taken for seconds more. The half that
     // stays free in quiet times is what the restarted VMs serve their callers on meanwhile; without it they
@@ -250,11 +255,12 @@
     return std::max<std::size_t>(this->connectionShareOf(upstream) / 2, 1);
 }
 
-void SessionEngine::State::openFor(GroupState& group, UpstreamState& upstream, CallerSession& session)
+void SessionEngine::State::openConnectionFor(
+    GroupState& group, UpstreamState& upstream, CallerSession& session)
 {
-    if (upstream.connections.size() >= this->keptAt(upstream)) {
-        if (auto* oldest = this->oldestIdle(upstream))
-            this->close(*oldest);
+    if (upstream.connections.size() >= this->connectionsKeptAt(upstream)) {
+        if (auto* longestIdle = this->longestIdleConnection(upstream))
+            this->close(*longestIdle);
     }
     const ConnectionId id { ++this->lastConnection };
     auto& connection = this->connections[static_cast<std::uint64_t>(id)];
@@ -266,18 +272,18 @@
     connection.sentAt = this->now;
     connection.answerBy = this->now + this->options.settings.openTimeout;
     upstream.connections.push_back(id);
-    ++upstream.working;
+    ++upstream.connectionsInUse;
     session.work->connection = id;
     ++this->counters.connectionsOpened;
     this->actions.emplace_back(
         OpenConnection { .connection = id, .upstream = upstream.entry, .team = session.team });
 }
 
-void SessionEngine::State::serveOn(PooledConnection& connection, CallerSession& session)
+void SessionEngine::State::runOn(PooledConnection& connection, CallerSession& session)
 {
     auto& work = *session.work;
     if (connection.phase == PooledConnection::Phase::Idle)
-        ++this->upstreamOf(connection).working;
+        ++this->upstreamOf(connection).connectionsInUse;
     connection.phase = PooledConnection::Phase::Working;
     connection.user = session.id;
     work.connection = connection.id;
@@ -300,10 +306,10 @@
 void SessionEngine::State::runPinned(CallerSession& session)
 {
     if (auto* connection = session.pinned ? this->findConnection(*session.pinned) : nullptr)
-        this->serveOn(*connection, session);
+        this->runOn(*connection, session);
 }
 
-void SessionEngine::State::refuseOverdue(GroupState& group)
+void SessionEngine::State::refuseOverdueStatements(GroupState& group)
 {
     const auto waiting = group.waiting;
     for (const auto id : waiting) {
@@ -312,10 +318,11 @@
             continue;
         const auto& work = *session->work;
         const bool leaderless = this->isLeaderless(group, *session);
-        const auto patience = (work.offerBy - work.arrivedAt) / this->options.settings.leaderlessWaitDivisor;
-        const bool hopeless = leaderless
-            && (group.view.phase == LeaderView::Phase::Changing || this->now >= work.arrivedAt + patience);
-        if (!hopeless && this->now < work.offerBy)
+        const auto maxWait
+            = (work.dispatchDeadline - work.arrivedAt) / this->options.settings.leaderlessWaitDivisor;
+        const bool cannotBeServed = leaderless
+            && (group.view.phase == LeaderView::Phase::Changing || this->now >= work.arrivedAt + maxWait);
+        if (!cannotBeServed && this->now < work.dispatchDeadline)
             continue;
         std::erase(group.waiting, id);
         if (leaderless)
--- a/src/pooling/engine_homes.cpp
+++ b/src/pooling/engine_forwarding.cpp
@@ -8,22 +8,22 @@
 namespace {
 
 // Numbers of guests have the highest bit set, numbers of a VM's own callers count up from one.
-constexpr std::uint64_t guestBit = std::uint64_t { 1 } << 63U;
+constexpr std::uint64_t remoteSessionBit = std::uint64_t { 1 } << 63U;
 
 // Another home is tried when the first one is out of reach; after that the work runs here, over the one
 // connection that every VM may open.
-constexpr std::size_t homesTried = 2;
+constexpr std::size_t maxOwnersTried = 2;
 
 } // namespace
 
 void SessionEngine::State::dispatch(CallerSession& session)
 {
-    if (session.owner && this->homeHealth.isUnreachable(*session.owner))
+    if (session.owner && this->ownerHealth.isUnreachable(*session.owner))
         return this->dropTransaction(session, "the home of the transaction cannot be reached");
     if (session.owner)
-        return this->handOn(session, *session.owner);
-    if (const auto owner = this->homeFor(session))
-        return this->handOn(session, *owner);
+        return this->forwardTo(session, *session.owner);
+    if (const auto owner = this->selectOwner(session))
+        return this->forwardTo(session, *owner);
     this->enqueue(session);
 }
 
@@ -33,85 +33,85 @@
     return cap == this->routes->connectionCaps.end() ? 1 : cap->second;
 }
 
-ServiceOwners* SessionEngine::State::homesFor(std::uint32_t connectionCap) const
+ServiceOwners* SessionEngine::State::ownersFor(std::uint32_t connectionCap) const
 {
     // A hop to a home costs time and bytes between availability zones, and a home that dies takes along what
     // all VMs had there. Both are paid only where this VM could not serve its callers by itself.
-    const bool alone = this->ownPartOf(connectionCap) >= this->options.settings.minShareWithoutOwners;
+    const bool alone = this->evenShareOf(connectionCap) >= this->options.settings.minShareWithoutOwners;
     return alone ? nullptr : this->place.owners.get();
 }
 
-std::optional<VmName> SessionEngine::State::homeFor(const CallerSession& session) const
+std::optional<VmName> SessionEngine::State::selectOwner(const CallerSession& session) const
 {
     const auto& service = session.route.service;
     const auto cap = this->connectionCapOf(service);
-    auto* owners = session.remoteSession ? nullptr : this->homesFor(cap);
+    auto* owners = session.remoteSession ? nullptr : this->ownersFor(cap);
     if (owners == nullptr)
         return std::nullopt;
     std::size_t tried = 0;
     for (const auto& vm : owners->rankedOwners(service, session.team, cap)) {
         if (vm == owners->self())
             return std::nullopt;
-        if (this->homeHealth.isUnreachable(vm))
+        if (this->ownerHealth.isUnreachable(vm))
             continue;
-        if (tried++ == homesTried)
+        if (tried++ == maxOwnersTried)
             return std::nullopt;
-        if (!this->pausedHomes.contains(vm, this->now))
+        if (!this->skippedOwners.contains(vm, this->now))
             return vm;
     }
     return std::nullopt;
 }
 
-void SessionEngine::State::handOn(CallerSession& session, const VmName& owner)
+void SessionEngine::State::forwardTo(CallerSession& session, const VmName& owner)
 {
     auto& work = *session.work;
-    work.handedTo = owner;
-    work.handedAt = this->now;
+    work.forwardedTo = owner;
+    work.forwardedAt = this->now;
     if (!session.owner)
-        session.guestAtHome = CallerId { this->guestNumbers() | guestBit };
-    ForwardedStatement handed;
-    handed.remoteSession = session.guestAtHome;
-    handed.continuesTransaction = session.owner.has_value();
-    handed.query = work.query;
-    handed.kind = work.kind;
-    handed.team = session.team;
-    handed.route = session.route;
-    handed.state.values = session.state.values;
+        session.sessionAtOwner = CallerId { this->remoteSessionNumbers() | remoteSessionBit };
+    ForwardedStatement forwarded;
+    forwarded.remoteSession = session.sessionAtOwner;
+    forwarded.continuesTransaction = session.owner.has_value();
+    forwarded.query = work.query;
+    forwarded.kind = work.kind;
+    forwarded.team = session.team;
+    forwarded.route = session.route;
+    forwarded.state.values = session.state.values;
     if (const auto* execute = std::get_if<ExecutePrepared>(&work.query.statement);
         execute != nullptr && work.shape)
-        handed.state.prepared.emplace(execute->name, *work.shape);
-    handed.inTransaction = session.phase == SessionPhase::InTransaction;
-    handed.readOnly = session.transactionReadOnly;
-    if (session.requiredProgress && session.floorService == session.route.service) {
-        handed.requiredProgress = session.requiredProgress;
-        handed.requiredProgressAge = this->now - session.floorAt;
+        forwarded.state.prepared.emplace(execute->name, *work.shape);
+    forwarded.inTransaction = session.phase == SessionPhase::InTransaction;
+    forwarded.readOnly = session.transactionReadOnly;
+    if (session.requiredProgress && session.requiredProgressService == session.route.service) {
+        forwarded.requiredProgress = session.requiredProgress;
+        forwarded.requiredProgressAge = this->now - session.requiredProgressAt;
     }
-    handed.waited = this->now - work.arrivedAt;
+    forwarded.waited = this->now - work.arrivedAt;
     ++this->counters.forwarded;
     const auto timeLimit = work.deadline - this->now + this->options.settings.ownerReplyGrace;
     this->actions.emplace_back(ForwardStatement {
-        .caller = session.id, .owner = owner, .work = std::move(handed), .timeLimit = timeLimit });
+        .caller = session.id, .owner = owner, .work = std::move(forwarded), .timeLimit = timeLimit });
 }
 
 void SessionEngine::State::forwardedStatementAnswered(CallerId caller, CallerId remoteSession, Reply reply)
 {
     auto* session = this->findCaller(caller);
-    const auto owner = session != nullptr && session->work ? session->work->handedTo : std::nullopt;
+    const auto owner = session != nullptr && session->work ? session->work->forwardedTo : std::nullopt;
     if (!owner)
         return;
     // What a home answers to work that was given up is no answer to the work that followed.
-    if (remoteSession != session->guestAtHome)
+    if (remoteSession != session->sessionAtOwner)
         return;
-    this->homeHealth.answered(*owner, this->now);
+    this->ownerHealth.answered(*owner, this->now);
     const auto kind = session->work->kind;
     const bool inTransaction = session->phase == SessionPhase::InTransaction;
     if (reply.progress)
-        this->noteTerm(this->group(session->route.service),
+        this->recordTerm(this->group(session->route.service),
             { .source = owner->view(), .statementId = session->work->query.id }, reply.progress->term);
     if (reply.failure) {
         if (meansNotRun(reply.failure->error))
-            this->giveBackCharge(*session);
-        session->charged = false;
+            this->refundToken(*session);
+        session->tokenSpent = false;
         this->logFailure(*session, UpstreamName { owner->string() }, *reply.failure);
         if (inTransaction) {
             // The home has dropped the transaction with the statement that failed.
@@ -120,49 +120,49 @@
         }
         return this->answer(*session, std::move(reply));
     }
-    session->charged = false;
-    const bool keeps = inTransaction ? kind == StatementKind::Commit && session->transactionWrote
-                                     : kind == StatementKind::Write;
-    if (keeps && reply.progress)
-        noteOwnWrite(*session, *reply.progress, session->work->handedAt);
+    session->tokenSpent = false;
+    const bool commitsWrite = inTransaction ? kind == StatementKind::Commit && session->transactionWrote
+                                            : kind == StatementKind::Write;
+    if (commitsWrite && reply.progress)
+        recordOwnWrite(*session, *reply.progress, session->work->forwardedAt);
     if (inTransaction)
-        this->finishHandedInTransaction(*session);
+        this->finishForwardedInTransaction(*session);
     this->answer(*session, std::move(reply));
 }
 
-void SessionEngine::State::finishHandedInTransaction(CallerSession& session)
+void SessionEngine::State::finishForwardedInTransaction(CallerSession& session)
 {
     if (session.work->kind == StatementKind::Commit) {
         session.owner.reset();
         session.phase = SessionPhase::Idle;
         return;
     }
-    session.owner = session.work->handedTo;
+    session.owner = session.work->forwardedTo;
     session.transactionWrote = session.transactionWrote || session.work->kind == StatementKind::Write;
 }
 
-void SessionEngine::State::askSilentHomes()
+void SessionEngine::State::checkSilentOwners()
 {
     std::map<VmName, Instant> oldest;
     for (const auto& [id, session] : this->callers) {
         const auto* owner = session.work ? session.work->owner() : nullptr;
         if (owner == nullptr)
             continue;
-        auto& since = oldest.try_emplace(*owner, session.work->handedAt).first->second;
-        since = std::min(since, session.work->handedAt);
+        auto& since = oldest.try_emplace(*owner, session.work->forwardedAt).first->second;
+        since = std::min(since, session.work->forwardedAt);
     }
-    this->homeHealth.recordWaiting(oldest);
-    for (auto& owner : this->homeHealth.beginDueChecks(this->now))
+    this->ownerHealth.recordWaiting(oldest);
+    for (auto& owner : this->ownerHealth.beginDueChecks(this->now))
         this->actions.emplace_back(CheckOwnerLiveness { std::move(owner) });
 }
 
 void SessionEngine::State::ownerLivenessChecked(const VmName& owner, bool alive)
 {
-    const bool wasOutOfReach = this->homeHealth.isUnreachable(owner);
-    const bool newlyOutOfReach = this->homeHealth.checkEnded(owner, alive, this->now);
-    if (wasOutOfReach && alive)
+    const bool wasUnreachable = this->ownerHealth.isUnreachable(owner);
+    const bool becameUnreachable = this->ownerHealth.checkEnded(owner, alive, this->now);
+    if (wasUnreachable && alive)
         this->log("home_back", { { "vm", owner.string() } });
-    if (!newlyOutOfReach)
+    if (!becameUnreachable)
         return;
     this->log("home_out_of_reach", { { "vm", owner.string() } });
 }
@@ -170,11 +170,11 @@
 void SessionEngine::State::forwardingFailed(CallerId caller, CallerId remoteSession, ForwardFailure failure)
 {
     auto* session = this->findCaller(caller);
-    const auto owner = session != nullptr && session->work ? session->work->handedTo : std::nullopt;
-    if (!owner || remoteSession != session->guestAtHome)
+    const auto owner = session != nullptr && session->work ? session->work->forwardedTo : std::nullopt;
+    if (!owner || remoteSession != session->sessionAtOwner)
         return;
-    session->work->handedTo.reset();
-    this->pausedHomes.add(*owner, this->now + this->options.settings.ownerBackoff);
+    session->work->forwardedTo.reset();
+    this->skippedOwners.add(*owner, this->now + this->options.settings.ownerBackoff);
     this->log("home_failed",
         { { "id", session->work->query.id }, { "vm", owner->string() },
             { "service", session->route.service.string() },
@@ -185,22 +185,22 @@
             session->owner.reset();
         else if (session->phase == SessionPhase::InTransaction)
             session->owner = owner;
-        return this->loseWork(*session, StepKind::Main, "the home's answer was lost");
+        return this->handleLostAnswer(*session, StepKind::Main, "the home's answer was lost");
     }
     if (session->owner)
         return this->dropTransaction(*session, "the home of the transaction cannot be reached");
     this->dispatch(*session);
 }
 
-void SessionEngine::State::letGuestGo(CallerSession& session)
+void SessionEngine::State::releaseRemoteSession(CallerSession& session)
 {
     const auto owner = session.owner ? session.owner
-        : session.work               ? session.work->handedTo
+        : session.work               ? session.work->forwardedTo
                                      : std::optional<VmName> {};
     session.owner.reset();
     if (owner && session.phase == SessionPhase::InTransaction)
         this->actions.emplace_back(
-            ReleaseRemoteSession { .owner = *owner, .remoteSession = session.guestAtHome });
+            ReleaseRemoteSession { .owner = *owner, .remoteSession = session.sessionAtOwner });
 }
 
 void SessionEngine::State::forwardedStatementReceived(ForwardedStatement work)
@@ -225,36 +225,36 @@
     session.transactionReadOnly = work.readOnly;
     session.requiredProgress.reset();
     if (work.requiredProgress) {
-        noteOwnWrite(session, *work.requiredProgress, this->now - work.requiredProgressAge);
+        recordOwnWrite(session, *work.requiredProgress, this->now - work.requiredProgressAge);
         // Where it was written, a primary of that term leads.
-        this->noteTerm(this->group(session.route.service),
+        this->recordTerm(this->group(session.route.service),
             { .source = "a sibling", .statementId = work.query.id }, work.requiredProgress->term);
     }
     session.arrivedAt = this->now - work.waited;
     session.lastActive = this->now;
     session.statementId = work.query.id;
-    this->runData(session, std::move(work.query), work.kind);
+    this->runOnUpstream(session, std::move(work.query), work.kind);
 }
 
-void SessionEngine::State::answerGuest(CallerSession& session, Reply reply)
+void SessionEngine::State::answerRemoteSession(CallerSession& session, Reply reply)
 {
     session.work.reset();
-    session.held.reset();
+    session.unconfirmed.reset();
     session.lastActive = this->now;
     reply.phase = session.phase;
     this->actions.emplace_back(
         AnswerRemoteSession { .remoteSession = session.id, .reply = std::move(reply) });
     // Only an open transaction binds the sibling's next statement to this VM.
     if (session.phase != SessionPhase::InTransaction)
-        this->leave(session.id);
+        this->removeSession(session.id);
 }
 
-void SessionEngine::State::endGuest(CallerSession& session, const char* reason)
+void SessionEngine::State::endRemoteSession(CallerSession& session, const char* reason)
 {
     this->log("guest_ended",
         { { "id", session.statementId }, { "service", session.route.service.string() },
             { "team", session.team.string() }, { "reason", reason } });
-    this->leave(session.id);
+    this->removeSession(session.id);
 }
 
 } // namespace cyclamendrift
--- a/src/pooling/engine_state.h
+++ b/src/pooling/engine_state.h
@@ -23,8 +23,8 @@
     TeamShare share;
     /// Sessions whose operation waits to be let in.
     std::deque<CallerId> waiting;
-    bool asking = false;
-    Instant askAgainAt = Instant::min();
+    bool requestingTokens = false;
+    Instant nextTokenRequestAt = Instant::min();
 };
 
 /// Whose answer told a term.
@@ -39,7 +39,7 @@
     UpstreamName upstream;
     Instant sentAt;
     /// The term of the view under which it was sent, or its transaction was opened.
-    std::optional<Term> restsOn;
+    std::optional<Term> viewTerm;
 };
 
 /// Everything that a SessionEngine holds. Sources: engine_callers (statements of callers), engine_dispatch
@@ -50,7 +50,7 @@
 public:
     explicit State(Options options)
         : options(std::move(options))
-        , guestNumbers(this->options.seed)
+        , remoteSessionNumbers(this->options.seed)
     {
     }
 
@@ -60,16 +60,16 @@
     void resumeIfDue(CallerSession& session);
 
     // engine_callers
-    void startCaller(CallerId id, const SessionStart& start);
-    void ask(CallerId id, CallerQuery query);
-    void leave(CallerId id);
+    void startSession(CallerId id, const SessionStart& start);
+    void receiveStatement(CallerId id, CallerQuery query);
+    void removeSession(CallerId id);
     void answer(CallerSession& session, Reply reply);
     void refuse(CallerSession& session, StatementError error, std::string text);
-    void endCaller(CallerId id, std::optional<StatementFailure> failure);
+    void closeSession(CallerId id, std::optional<StatementFailure> failure);
     /// Puts back what the operation under way took out of its team's limit, when no upstream has run it.
-    void giveBackCharge(CallerSession& session);
+    void refundToken(CallerSession& session);
     /// Remembers what the session has written, and that the primary had come so far at that time.
-    static void noteOwnWrite(CallerSession& session, const Progress& progress, Instant at);
+    static void recordOwnWrite(CallerSession& session, const Progress& progress, Instant at);
     /// Lets waiting operations in as far as the budget goes, and asks siblings for what is missing.
     void admitWaiting(const TeamName& team, Budget& budget);
     /// Closes the session when it is idle and this VM is stopping; true when it did.
@@ -77,10 +77,10 @@
 
     // engine_dispatch
     void enqueue(CallerSession& session);
-    void pump(GroupState& group);
+    void dispatchWaiting(GroupState& group);
     void runPinned(CallerSession& session);
-    void serveOwnTeam(PooledConnection& connection);
-    void refuseOverdue(GroupState& group);
+    void serveSameTeam(PooledConnection& connection);
+    void refuseOverdueStatements(GroupState& group);
 
     // engine_homes
     void forwardedStatementReceived(ForwardedStatement work);
@@ -88,9 +88,9 @@
     void forwardingFailed(CallerId caller, CallerId remoteSession, ForwardFailure failure);
     void ownerLivenessChecked(const VmName& owner, bool alive);
     /// Asks homes for a sign of life that have not answered for a while.
-    void askSilentHomes();
+    void checkSilentOwners();
     /// Ends a guest whose transaction is gone; a later statement of it is told so.
-    void endGuest(CallerSession& session, const char* reason);
+    void endRemoteSession(CallerSession& session, const char* reason);
 
     // engine_connections
     void opened(ConnectionId id, std::optional<Progress> progress);
@@ -98,12 +98,12 @@
     void lost(ConnectionId id);
     void replied(ConnectionId id, Reply reply);
     void checkTimeouts();
-    void closeSpareConnections();
+    void closeIdleConnections();
     void abortTransaction(CallerSession& session, const char* reason);
 
     // engine_answers
     /// Gives an answer that was held back to its caller, once it is known whether it stands.
-    void releaseHeld(CallerSession& session);
+    void resolveUnconfirmed(CallerSession& session);
 
     [[nodiscard]] CallerSession* findCaller(CallerId id);
     [[nodiscard]] PooledConnection* findConnection(ConnectionId id);
@@ -122,9 +122,9 @@
     std::map<TeamName, std::uint64_t> demand;
     FleetPlace place;
     /// Homes that did not answer.
-    PassedOver<VmName> pausedHomes;
-    OwnerHealth homeHealth;
-    std::mt19937_64 guestNumbers;
+    PassedOver<VmName> skippedOwners;
+    OwnerHealth ownerHealth;
+    std::mt19937_64 remoteSessionNumbers;
     EngineCounters counters;
     std::uint64_t lastConnection = 0;
     /// Instant::max() while no stop is under way.
@@ -134,60 +134,61 @@
 
 private:
     // engine_callers
-    void takeNext(CallerSession& session);
-    void run(CallerSession& session, CallerQuery query);
+    void runNextStatement(CallerSession& session);
+    void runStatement(CallerSession& session, CallerQuery query);
     void startOperation(CallerSession& session, CallerQuery query);
     [[nodiscard]] bool checkPermission(CallerSession& session);
-    void waitForBudget(CallerSession& session, Budget& budget, CallerQuery query);
+    void queueForToken(CallerSession& session, Budget& budget, CallerQuery query);
     /// Where an operation of that priority comes in among those that wait for their team's limit.
-    [[nodiscard]] std::deque<CallerId>::iterator placeInLine(Budget& budget, std::uint32_t priority);
+    [[nodiscard]] std::deque<CallerId>::iterator queuePosition(Budget& budget, std::uint32_t priority);
     /// Refuses what has waited for its team's limit as long as it may.
-    void refuseOverRate(Budget& budget);
+    void refuseOverdueOperations(Budget& budget);
     void runOperation(CallerSession& session, CallerQuery query);
     void begin(CallerSession& session, const BeginTransaction& wanted);
     void rollback(CallerSession& session);
-    void runData(CallerSession& session, CallerQuery query, StatementKind kind);
+    void runOnUpstream(CallerSession& session, CallerQuery query, StatementKind kind);
     void endTransaction(CallerSession& session);
 
     // engine_homes
     /// Has the session's work run where the connections of its service are.
     void dispatch(CallerSession& session);
-    [[nodiscard]] std::optional<VmName> homeFor(const CallerSession& session) const;
-    void handOn(CallerSession& session, const VmName& owner);
-    void letGuestGo(CallerSession& session);
-    void finishHandedInTransaction(CallerSession& session);
-    void answerGuest(CallerSession& session, Reply reply);
+    [[nodiscard]] std::optional<VmName> selectOwner(const CallerSession& session) const;
+    void forwardTo(CallerSession& session, const VmName& owner);
+    void releaseRemoteSession(CallerSession& session);
+    void finishForwardedInTransaction(CallerSession& session);
+    void answerRemoteSession(CallerSession& session, Reply reply);
     /// The homes of services whose upstreams bear so many connections each; null where every VM serves its
     /// callers by itself.
-    [[nodiscard]] ServiceOwners* homesFor(std::uint32_t connectionCap) const;
+    [[nodiscard]] ServiceOwners* ownersFor(std::uint32_t connectionCap) const;
     [[nodiscard]] std::uint32_t connectionCapOf(const ServiceName& service) const;
 
     // engine_dispatch
-    void assign(GroupState& group, CallerSession& session);
+    void assignUpstream(GroupState& group, CallerSession& session);
     /// True when no upstream may run the session's work before a primary is known to lead.
     [[nodiscard]] bool isLeaderless(const GroupState& group, const CallerSession& session) const;
-    /// `needed` is what neededProgress() says of the session.
+    /// `needed` is what replicaRequirement() says of the session.
     [[nodiscard]] bool canServe(const GroupState& group, const UpstreamState& upstream,
-        const CallerSession& session, const std::optional<NeededProgress>& needed) const;
+        const CallerSession& session, const std::optional<ReplicaRequirement>& requirement) const;
     /// What a replica must have to serve the session's work; empty when no replica may serve it.
-    [[nodiscard]] std::optional<NeededProgress> neededProgress(
+    [[nodiscard]] std::optional<ReplicaRequirement> replicaRequirement(
         const GroupState& group, const CallerSession& session) const;
     [[nodiscard]] std::size_t runningAt(const UpstreamState& upstream) const;
-    [[nodiscard]] bool hasCaughtUp(const UpstreamState& upstream, const NeededProgress& needed) const;
+    [[nodiscard]] bool hasCaughtUp(
+        const UpstreamState& upstream, const ReplicaRequirement& requirement) const;
     [[nodiscard]] double costOf(const GroupState& group, const UpstreamState& upstream,
-        const CallerSession& session, const std::optional<NeededProgress>& needed) const;
+        const CallerSession& session, const std::optional<ReplicaRequirement>& requirement) const;
     [[nodiscard]] PooledConnection* idleConnection(UpstreamState& upstream, const TeamName& team);
-    [[nodiscard]] PooledConnection* oldestIdle(const UpstreamState& upstream);
+    [[nodiscard]] PooledConnection* longestIdleConnection(const UpstreamState& upstream);
     /// What every VM may hold of the connections that an upstream bears, were they divided evenly.
-    [[nodiscard]] std::size_t ownPartOf(std::uint32_t connectionCap) const;
+    [[nodiscard]] std::size_t evenShareOf(std::uint32_t connectionCap) const;
     /// This VM's share of an upstream's connections, with what it may borrow of other VMs'.
-    [[nodiscard]] std::size_t allowedAt(const UpstreamState& upstream) const;
+    [[nodiscard]] std::size_t maxConnectionsAt(const UpstreamState& upstream) const;
     /// Connections beyond which an idle one is closed for each that is opened.
-    [[nodiscard]] std::size_t keptAt(const UpstreamState& upstream) const;
+    [[nodiscard]] std::size_t connectionsKeptAt(const UpstreamState& upstream) const;
     /// True when a connection may be opened, if need be in the place of an idle one.
-    [[nodiscard]] bool hasRoom(const UpstreamState& upstream);
-    void openFor(GroupState& group, UpstreamState& upstream, CallerSession& session);
-    void serveOn(PooledConnection& connection, CallerSession& session);
+    [[nodiscard]] bool canOpenConnection(const UpstreamState& upstream);
+    void openConnectionFor(GroupState& group, UpstreamState& upstream, CallerSession& session);
+    void runOn(PooledConnection& connection, CallerSession& session);
 
     // engine_connections
     void sendNext(PooledConnection& connection);
@@ -195,39 +196,39 @@
     void sendStep(PooledConnection& connection);
     [[nodiscard]] bool readyToSend(PooledConnection& connection, CallerSession& session);
     void dropTransaction(CallerSession& session, const char* reason);
-    void takeBack(PooledConnection& connection, CallerSession& session);
+    void requeueElsewhere(PooledConnection& connection, CallerSession& session);
     void finishOpen(PooledConnection& connection, const Reply& reply);
-    void retry(CallerSession& session, const UpstreamName& avoided, Duration pause, StatementError reason);
+    void retry(CallerSession& session, const UpstreamName& skipped, Duration pause, StatementError reason);
     void release(PooledConnection& connection);
     void close(PooledConnection& connection);
     void erase(ConnectionId id);
-    void noteFailure(UpstreamState& upstream);
-    void noteAnswer(PooledConnection& connection, const Reply& reply);
-    void noteNotRun(PooledConnection& connection, StatementError error);
+    void recordConnectFailure(UpstreamState& upstream);
+    void recordAnswer(PooledConnection& connection, const Reply& reply);
+    void recordNotRun(PooledConnection& connection, StatementError error);
 
     // engine_contradictions
     /// Takes in that some upstream of the group has come to that term.
-    void noteTerm(GroupState& group, const TermSource& source, Term term);
+    void recordTerm(GroupState& group, const TermSource& source, Term term);
     /// Takes in that an upstream refused what only a primary may do.
-    void noteRefusedLead(const PooledConnection& connection);
+    void recordLeadRefusal(const PooledConnection& connection);
     [[nodiscard]] TermSource sourceOf(const PooledConnection& connection);
     void logContradiction(
         const GroupState& group, const TermSource& source, Term term, std::string_view reason);
 
     // engine_answers
     void finishMain(PooledConnection& connection, Reply reply);
-    void finishUnheard(PooledConnection& connection, const Reply& reply);
+    void finishAbandoned(PooledConnection& connection, const Reply& reply);
     void finishSingle(PooledConnection& connection, CallerSession& session, Reply reply);
     void finishInTransaction(PooledConnection& connection, CallerSession& session, Reply reply);
     void failTransaction(
         PooledConnection& connection, CallerSession& session, StatementFailure failure, SessionPhase phase);
-    void conclude(CallerSession& session, Reply reply, const RunPlace& place, bool keeps);
+    void finishStatement(CallerSession& session, Reply reply, const RunPlace& place, bool commitsWrite);
     /// True while a view may come that shows that the commit stands.
-    [[nodiscard]] bool canBeConfirmed(const GroupState& group, const HeldReply& held) const;
+    [[nodiscard]] bool canBeConfirmed(const GroupState& group, const UnconfirmedReply& unconfirmed) const;
     void logIfLate(const CallerSession& session, const RunPlace& place);
     void logFailure(
         const CallerSession& session, const UpstreamName& upstream, const StatementFailure& failure);
-    void loseWork(CallerSession& session, StepKind step, const char* reason);
+    void handleLostAnswer(CallerSession& session, StepKind step, const char* reason);
 };
 
 /// A reply with a failure alone.
--- a/src/pooling/owner_health.cpp
+++ b/src/pooling/owner_health.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 // Most statements take less; those that take longer cost a question of some hundred bytes.
-constexpr Duration patience = std::chrono::milliseconds { 150 };
+constexpr Duration answerWait = std::chrono::milliseconds { 150 };
 // Between two questions to a home out of reach.
-constexpr Duration retryPause = std::chrono::milliseconds { 300 };
+constexpr Duration recheckInterval = std::chrono::milliseconds { 300 };
 // A home that has been out of reach for so long has left, or will be found in reach by the next statement.
-constexpr Duration forgottenAfter = std::chrono::seconds { 20 };
+constexpr Duration maxUnreachableTime = std::chrono::seconds { 20 };
 
 } // namespace
 
@@ -23,7 +23,7 @@
         this->owners[owner].waitingSince = since;
     std::erase_if(this->owners, [](const auto& item) {
         const auto& state = item.second;
-        return state.waitingSince == Instant::max() && !state.asking && !state.outOfReach;
+        return state.waitingSince == Instant::max() && !state.checking && !state.unreachable;
     });
 }
 
@@ -32,24 +32,24 @@
     const auto match = this->owners.find(owner);
     if (match == this->owners.end())
         return;
-    match->second.lastHeard = now;
-    match->second.outOfReach = false;
+    match->second.lastAnswerAt = now;
+    match->second.unreachable = false;
 }
 
 std::vector<VmName> OwnerHealth::beginDueChecks(Instant now)
 {
-    std::vector<VmName> asked;
+    std::vector<VmName> selected;
     for (auto& [owner, state] : this->owners) {
-        if (state.outOfReach && now >= state.lostAt + forgottenAfter)
-            state.outOfReach = false;
+        if (state.unreachable && now >= state.unreachableSince + maxUnreachableTime)
+            state.unreachable = false;
         const bool waits = state.waitingSince != Instant::max()
-            && now >= std::max(state.waitingSince, state.lastHeard) + patience;
-        if (state.asking || now < state.askAgainAt || (!waits && !state.outOfReach))
+            && now >= std::max(state.waitingSince, state.lastAnswerAt) + answerWait;
+        if (state.checking || now < state.nextCheckAt || (!waits && !state.unreachable))
             continue;
-        state.asking = true;
-        asked.push_back(owner);
+        state.checking = true;
+        selected.push_back(owner);
     }
-    return asked;
+    return selected;
 }
 
 bool OwnerHealth::checkEnded(const VmName& owner, bool alive, Instant now)
@@ -58,24 +58,24 @@
     if (match == this->owners.end())
         return false;
     auto& state = match->second;
-    state.asking = false;
-    state.askAgainAt = now + retryPause;
+    state.checking = false;
+    state.nextCheckAt = now + recheckInterval;
     if (alive) {
-        state.lastHeard = now;
-        state.outOfReach = false;
+        state.lastAnswerAt = now;
+        state.unreachable = false;
         return false;
     }
-    if (state.outOfReach)
+    if (state.unreachable)
         return false;
-    state.outOfReach = true;
-    state.lostAt = now;
+    state.unreachable = true;
+    state.unreachableSince = now;
     return true;
 }
 
 bool OwnerHealth::isUnreachable(const VmName& owner) const
 {
     const auto match = this->owners.find(owner);
-    return match != this->owners.end() && match->second.outOfReach;
+    return match != this->owners.end() && match->second.unreachable;
 }
 
 } // namespace cyclamendrift
--- a/src/pooling/pooled_connection.h
+++ b/src/pooling/pooled_connection.h
@@ -56,13 +56,13 @@
     Instant answerBy;
     /// The term of the view on which the statement that was sent last, or the open transaction, relies for
     /// its freshness; empty when a position was named.
-    std::optional<Term> restsOn;
+    std::optional<Term> viewTerm;
 
     /// True when the answer comes from a later term than the view on which its freshness rests: the upstream
     /// may follow the next primary by then and lack commits of it.
-    [[nodiscard]] bool outlivedView(const Reply& reply) const noexcept
+    [[nodiscard]] bool isFromLaterTerm(const Reply& reply) const noexcept
     {
-        return !reply.failure && this->restsOn && reply.progress && reply.progress->term > *this->restsOn;
+        return !reply.failure && this->viewTerm && reply.progress && reply.progress->term > *this->viewTerm;
     }
 };
 
@@ -73,24 +73,24 @@
     bool listed = true;
     std::vector<ConnectionId> connections;
     /// Statements that it works on for this VM.
-    int working = 0;
-    Instant downUntil = Instant::min();
+    int connectionsInUse = 0;
+    Instant unreachableUntil = Instant::min();
     int failures = 0;
     Instant busyUntil = Instant::min();
     Instant laggingUntil = Instant::min();
-    int laggingTimes = 0;
-    Instant keepToShareUntil = Instant::min();
+    int laggingCount = 0;
+    Instant noBorrowingUntil = Instant::min();
     Instant lastAnswer = Instant::min();
     std::optional<Instant> failingSince;
     ConcurrencyLimit limit;
     /// How far its log was when it last told.
-    Progress known;
+    Progress knownProgress;
     /// How far it was behind the primary then.
     Duration lag {};
 };
 
 /// A position that a read needs, and when the primary had come to it.
-struct NeededProgress {
+struct ReplicaRequirement {
     Progress progress;
     Instant at;
 };
@@ -98,10 +98,10 @@
 /// What answers have shown against a view counts for so long. The duty's holder needs some three seconds to
 /// find and record a newer primary; if it finds none by then, a group is not kept from the primary on record
 /// for ever.
-inline constexpr Duration contradictionKept = std::chrono::seconds { 5 };
+inline constexpr Duration contradictionLifetime = std::chrono::seconds { 5 };
 
 /// An upstream that refused to act as the primary of a term.
-struct RefusedLead {
+struct LeadRefusal {
     UpstreamName upstream;
     Term term {};
 };
@@ -116,7 +116,7 @@
     std::vector<CallerId> waiting;
     /// The newest term of any position that was told.
     Term newestTerm {};
-    std::optional<RefusedLead> refusedLead;
+    std::optional<LeadRefusal> leadRefusal;
     /// When an answer has contradicted the view last.
     Instant contradictedAt = Instant::min();
 
@@ -124,10 +124,10 @@
     /// nothing of that; a view of another primary or of a later term does.
     [[nodiscard]] bool isContradicted(Instant now) const noexcept
     {
-        if (now >= this->contradictedAt + contradictionKept)
+        if (now >= this->contradictedAt + contradictionLifetime)
             return false;
-        const bool refused = this->refusedLead && this->refusedLead->upstream == this->view.primary
-            && this->refusedLead->term == this->view.term;
+        const bool refused = this->leadRefusal && this->leadRefusal->upstream == this->view.primary
+            && this->leadRefusal->term == this->view.term;
         return this->view.phase != LeaderView::Phase::Unknown
             && (refused || this->newestTerm > this->view.term);
     }
--- a/src/pooling/progress_history.cpp
+++ b/src/pooling/progress_history.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 // Routes allow staleness of a few seconds; older observations are of no use to any.
-constexpr Duration kept = std::chrono::seconds { 10 };
+constexpr Duration maxObservationAge = std::chrono::seconds { 10 };
 // Observations closer together than this change little in what a replica must have.
-constexpr Duration resolution = std::chrono::milliseconds { 20 };
+constexpr Duration minObservationInterval = std::chrono::milliseconds { 20 };
 
 } // namespace
 
@@ -19,10 +19,11 @@
         return;
     if (!this->observations.empty() && observation.progress.term > this->observations.back().progress.term)
         this->observations.clear();
-    if (!this->observations.empty() && observation.seenAt < this->observations.back().seenAt + resolution)
+    if (!this->observations.empty()
+        && observation.seenAt < this->observations.back().seenAt + minObservationInterval)
         return;
     this->observations.push_back(observation);
-    while (this->observations.front().seenAt + kept < observation.seenAt)
+    while (this->observations.front().seenAt + maxObservationAge < observation.seenAt)
         this->observations.pop_front();
 }
 
--- a/src/pooling/service_owners.cpp
+++ b/src/pooling/service_owners.cpp
@@ -14,31 +14,31 @@
 
 // A dozen connections hold one open for most teams of a home and leave some for transactions; with fewer
 // homes each death of one hurts more callers, with more of them connections run out again.
-constexpr std::uint32_t connectionsOfHome = 12;
-constexpr std::uint32_t leastHomes = 3;
-constexpr std::uint32_t mostHomes = 8;
+constexpr std::uint32_t connectionsPerOwner = 12;
+constexpr std::uint32_t minOwners = 3;
+constexpr std::uint32_t maxOwners = 8;
 // One in eight connections is left to VMs that reach no home and to questions about the status.
-constexpr std::uint32_t leftToOthers = 8;
+constexpr std::uint32_t reservedDivisor = 8;
 
 // Homes are chosen among the strongest VMs that have this part of all processors, and at least so many of
 // them: the work of a home is about that of the VM that hands it on, and VMs are bought for bursts.
-constexpr double partOfProcessors = 0.25;
-constexpr std::size_t leastCandidates = std::size_t { 2 } * mostHomes;
+constexpr double candidateCoreFraction = 0.25;
+constexpr std::size_t minCandidates = std::size_t { 2 } * maxOwners;
 
-std::map<VmName, VmStrength> strongestOf(const std::map<VmName, VmStrength>& listed)
+std::map<VmName, VmStrength> selectCandidates(const std::map<VmName, VmStrength>& listed)
 {
     double all = 0;
     for (const auto& [vm, strength] : listed)
         all += strength.cores;
-    std::map<VmName, VmStrength> chosen;
+    std::map<VmName, VmStrength> selected;
     double cores = 0;
     for (const auto& vm : strongestFirst(listed)) {
-        if (chosen.size() >= leastCandidates && cores >= partOfProcessors * all)
+        if (selected.size() >= minCandidates && cores >= candidateCoreFraction * all)
             break;
         cores += listed.at(vm).cores;
-        chosen.emplace(vm, listed.at(vm));
+        selected.emplace(vm, listed.at(vm));
     }
-    return chosen;
+    return selected;
 }
 
 /// Rendezvous weight in proportion to a VM's strength: one with four times the processor is chosen four times
@@ -50,44 +50,44 @@
     return -strength.cores / std::log(drawn);
 }
 
-std::size_t homesFor(std::uint32_t connectionCap)
+std::size_t ownerCountFor(std::uint32_t connectionCap)
 {
-    return std::clamp(connectionCap / connectionsOfHome, leastHomes, mostHomes);
+    return std::clamp(connectionCap / connectionsPerOwner, minOwners, maxOwners);
 }
 
 } // namespace
 
 ServiceOwners::ServiceOwners(VmName self, const std::map<VmName, VmStrength>& listed)
-    : own(std::move(self))
-    , candidates(strongestOf(listed))
+    : selfName(std::move(self))
+    , candidates(selectCandidates(listed))
 {
 }
 
-bool ServiceOwners::areUseful(std::size_t vms) noexcept { return vms > leastHomes; }
+bool ServiceOwners::areUseful(std::size_t vms) noexcept { return vms > minOwners; }
 
-ServiceOwners::Choice& ServiceOwners::choiceFor(const ServiceName& service, std::uint32_t connectionCap)
+ServiceOwners::Selection& ServiceOwners::selectionFor(const ServiceName& service, std::uint32_t connectionCap)
 {
-    auto& choice = this->choices[service];
-    if (choice.owners.empty() || choice.connectionCap != connectionCap) {
-        choice = { .connectionCap = connectionCap, .owners = this->choose(service, connectionCap) };
-        choice.share = this->shareAmong(choice.owners, connectionCap);
+    auto& selection = this->selections[service];
+    if (selection.owners.empty() || selection.connectionCap != connectionCap) {
+        selection = { .connectionCap = connectionCap, .owners = this->selectOwners(service, connectionCap) };
+        selection.share = this->computeShare(selection.owners, connectionCap);
     }
-    return choice;
+    return selection;
 }
 
 const std::vector<VmName>& ServiceOwners::ownersOf(const ServiceName& service, std::uint32_t connectionCap)
 {
-    return this->choiceFor(service, connectionCap).owners;
+    return this->selectionFor(service, connectionCap).owners;
 }
 
-std::vector<VmName> ServiceOwners::choose(const ServiceName& service, std::uint32_t connectionCap) const
+std::vector<VmName> ServiceOwners::selectOwners(const ServiceName& service, std::uint32_t connectionCap) const
 {
     const auto subject = "homes/" + service.string();
     std::vector<std::pair<double, VmName>> ranked;
     ranked.reserve(this->candidates.size());
     for (const auto& [vm, strength] : this->candidates)
         ranked.emplace_back(weightOf(vm, strength, subject), vm);
-    const auto count = std::min(ranked.size(), homesFor(connectionCap));
+    const auto count = std::min(ranked.size(), ownerCountFor(connectionCap));
     std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(count), ranked.end(),
         [](const auto& left, const auto& right) { return left > right; });
     std::vector<VmName> owners;
@@ -100,25 +100,25 @@
 const std::vector<VmName>& ServiceOwners::rankedOwners(
     const ServiceName& service, const TeamName& team, std::uint32_t connectionCap)
 {
-    auto& choice = this->choiceFor(service, connectionCap);
-    auto& order = choice.orders[team];
-    if (!order.empty())
-        return order;
-    order = choice.owners;
-    rankByRendezvous(order, "home/" + service.string() + '/' + team.string());
-    return order;
+    auto& selection = this->selectionFor(service, connectionCap);
+    auto& ranking = selection.rankings[team];
+    if (!ranking.empty())
+        return ranking;
+    ranking = selection.owners;
+    rankByRendezvous(ranking, "home/" + service.string() + '/' + team.string());
+    return ranking;
 }
 
 std::size_t ServiceOwners::connectionShareOf(const ServiceName& service, std::uint32_t connectionCap)
 {
-    return this->choiceFor(service, connectionCap).share;
+    return this->selectionFor(service, connectionCap).share;
 }
 
-std::size_t ServiceOwners::shareAmong(const std::vector<VmName>& owners, std::uint32_t connectionCap) const
+std::size_t ServiceOwners::computeShare(const std::vector<VmName>& owners, std::uint32_t connectionCap) const
 {
-    if (std::find(owners.begin(), owners.end(), this->own) == owners.end())
+    if (std::find(owners.begin(), owners.end(), this->selfName) == owners.end())
         return 1;
-    const auto usable = connectionCap - connectionCap / leftToOthers;
+    const auto usable = connectionCap - connectionCap / reservedDivisor;
     return std::max<std::size_t>(usable / owners.size(), 1);
 }
 
--- a/src/pooling/session_engine.cpp
+++ b/src/pooling/session_engine.cpp
@@ -53,19 +53,19 @@
 void SessionEngine::callerStartedSession(CallerId caller, const SessionStart& start, Instant now)
 {
     this->state->now = now;
-    this->state->startCaller(caller, start);
+    this->state->startSession(caller, start);
 }
 
 void SessionEngine::callerSentStatement(CallerId caller, CallerQuery query, Instant now)
 {
     this->state->now = now;
-    this->state->ask(caller, std::move(query));
+    this->state->receiveStatement(caller, std::move(query));
 }
 
 void SessionEngine::callerDisconnected(CallerId caller, Instant now)
 {
     this->state->now = now;
-    this->state->leave(caller);
+    this->state->removeSession(caller);
 }
 
 void SessionEngine::connectionOpened(ConnectionId connection, std::optional<Progress> progress, Instant now)
@@ -101,7 +101,7 @@
 void SessionEngine::remoteSessionReleased(CallerId remoteSession, Instant now)
 {
     this->state->now = now;
-    this->state->leave(remoteSession);
+    this->state->removeSession(remoteSession);
 }
 
 void SessionEngine::forwardedStatementAnswered(
@@ -134,44 +134,44 @@
 
 void SessionEngine::setDirectory(const UpstreamDirectory& directory, Instant now)
 {
-    auto& own = *this->state;
-    own.now = now;
-    for (auto& [service, group] : own.groups) {
+    auto& engine = *this->state;
+    engine.now = now;
+    for (auto& [service, group] : engine.groups) {
         for (auto& [name, upstream] : group.upstreams)
             upstream.listed = false;
     }
     for (const auto& entry : directory) {
-        auto& upstream = own.group(entry.service).upstreams[entry.name];
+        auto& upstream = engine.group(entry.service).upstreams[entry.name];
         upstream.listed = true;
         upstream.entry = entry;
     }
-    for (auto& [service, group] : own.groups) {
+    for (auto& [service, group] : engine.groups) {
         std::erase_if(group.upstreams,
             [](const auto& item) { return !item.second.listed && item.second.connections.empty(); });
-        own.pump(group);
+        engine.dispatchWaiting(group);
     }
 }
 
 void SessionEngine::setLeader(const ServiceName& service, const LeaderView& view, Instant now)
 {
-    auto& own = *this->state;
-    own.now = now;
-    auto& group = own.group(service);
+    auto& engine = *this->state;
+    engine.now = now;
+    auto& group = engine.group(service);
     const bool changed = view.primary != group.view.primary || view.term != group.view.term;
     // Positions that were seen under another primary say nothing of this one's log.
     if (changed)
         group.history.clear();
     group.view = view;
-    std::vector<CallerId> held;
-    for (const auto& [id, session] : own.callers) {
-        if (session.held && session.route.service == service)
-            held.push_back(session.id);
+    std::vector<CallerId> unconfirmed;
+    for (const auto& [id, session] : engine.callers) {
+        if (session.unconfirmed && session.route.service == service)
+            unconfirmed.push_back(session.id);
     }
-    for (const auto id : held) {
-        if (auto* session = own.findCaller(id); session != nullptr && session->held)
-            own.releaseHeld(*session);
+    for (const auto id : unconfirmed) {
+        if (auto* session = engine.findCaller(id); session != nullptr && session->unconfirmed)
+            engine.resolveUnconfirmed(*session);
     }
-    own.pump(group);
+    engine.dispatchWaiting(group);
 }
 
 void SessionEngine::setPlace(const FleetPlace& place, Instant now)
@@ -182,30 +182,30 @@
 
 void SessionEngine::setShares(const std::map<TeamName, TeamShare::Rule>& shares, Instant now)
 {
-    auto& own = *this->state;
-    own.now = now;
+    auto& engine = *this->state;
+    engine.now = now;
     for (const auto& [team, rule] : shares)
-        own.budgets[team].share.setRule(rule, now);
+        engine.budgets[team].share.setRule(rule, now);
 }
 
 void SessionEngine::tokensReceived(const TeamName& team, std::uint32_t given, Instant now)
 {
-    auto& own = *this->state;
-    own.now = now;
-    auto& budget = own.budgets[team];
-    budget.asking = false;
+    auto& engine = *this->state;
+    engine.now = now;
+    auto& budget = engine.budgets[team];
+    budget.requestingTokens = false;
     budget.share.receive(given, now);
     if (given == 0)
-        budget.askAgainAt = now + own.options.settings.tokenRequestBackoff;
-    own.admitWaiting(team, budget);
+        budget.nextTokenRequestAt = now + engine.options.settings.tokenRequestBackoff;
+    engine.admitWaiting(team, budget);
 }
 
 std::uint32_t SessionEngine::giveTokens(const TeamName& team, std::uint32_t wanted, Instant now)
 {
-    auto& own = *this->state;
-    own.now = now;
-    const auto budget = own.budgets.find(team);
-    if (budget == own.budgets.end() || !budget->second.waiting.empty())
+    auto& engine = *this->state;
+    engine.now = now;
+    const auto budget = engine.budgets.find(team);
+    if (budget == engine.budgets.end() || !budget->second.waiting.empty())
         return 0;
     return budget->second.share.give(wanted, now);
 }
@@ -218,27 +218,27 @@
 
 void SessionEngine::tick(Instant now)
 {
-    auto& own = *this->state;
-    own.now = now;
-    own.checkTimeouts();
-    own.tickGroups();
-    own.closeSpareConnections();
-    own.askSilentHomes();
+    auto& engine = *this->state;
+    engine.now = now;
+    engine.checkTimeouts();
+    engine.tickGroups();
+    engine.closeIdleConnections();
+    engine.checkSilentOwners();
     std::vector<CallerId> ids;
-    ids.reserve(own.callers.size());
-    for (const auto& entry : own.callers)
+    ids.reserve(engine.callers.size());
+    for (const auto& entry : engine.callers)
         ids.push_back(entry.second.id);
     for (const auto id : ids) {
-        if (auto* session = own.findCaller(id))
-            own.tickSession(*session);
+        if (auto* session = engine.findCaller(id))
+            engine.tickSession(*session);
     }
 }
 
 void SessionEngine::State::tickGroups()
 {
     for (auto& entry : this->groups) {
-        this->pump(entry.second);
-        this->refuseOverdue(entry.second);
+        this->dispatchWaiting(entry.second);
+        this->refuseOverdueStatements(entry.second);
     }
     for (auto& entry : this->budgets)
         this->admitWaiting(entry.first, entry.second);
@@ -246,22 +246,22 @@
 
 void SessionEngine::State::tickSession(CallerSession& session)
 {
-    if (session.held)
-        return this->releaseHeld(session);
+    if (session.unconfirmed)
+        return this->resolveUnconfirmed(session);
     if (session.work)
         return this->resumeIfDue(session);
-    const bool tooLong = this->now >= session.lastActive + this->routes->maxTransactionIdleTime;
+    const bool idleTooLong = this->now >= session.lastActive + this->routes->maxTransactionIdleTime;
     const bool stopping = this->now >= this->abortAt;
-    if (session.phase == SessionPhase::InTransaction && (tooLong || stopping))
-        return this->abortTransaction(session, tooLong ? "the caller rested too long" : "this VM stops");
+    if (session.phase == SessionPhase::InTransaction && (idleTooLong || stopping))
+        return this->abortTransaction(session, idleTooLong ? "the caller rested too long" : "this VM stops");
     static_cast<void>(this->closeIfDraining(session));
 }
 
 void SessionEngine::State::resumeIfDue(CallerSession& session)
 {
-    if (!session.pinned || this->now < session.work->resumeAt)
+    if (!session.pinned || this->now < session.work->retryAt)
         return;
-    session.work->resumeAt = Instant::max();
+    session.work->retryAt = Instant::max();
     this->runPinned(session);
 }
 
