--- a/include/cyclamendrift/pooling/caller_statement.h
+++ b/include/cyclamendrift/pooling/caller_statement.h
@@ -3,34 +3,35 @@
 #include <string>
 #include <variant>
 
-/// What a caller of the session protocol may send, decoded once at the edge.
+/// Statements of the session protocol, as decoded from a caller's message.
 namespace cyclamendrift {
 
 /// Opens a transaction.
 struct BeginTransaction {
     bool readOnly = false;
 };
-/// Ends a transaction and keeps what it wrote.
+/// Ends a transaction and commits its writes.
 struct CommitTransaction { };
-/// Ends a transaction and drops what it wrote.
+/// Ends a transaction and discards its writes.
 struct RollbackTransaction { };
 /// Reads one item.
 struct ReadItem { };
 /// Writes one item.
 struct WriteItem { };
-/// Sets a value of the session.
+/// Sets a session variable.
 struct SetSessionValue {
     std::string name;
     std::string value;
 };
-/// What a prepared statement does, whatever its name.
+/// The text of a prepared statement and whether it writes. It does not include the statement's name, which
+/// differs between sessions.
 struct PreparedShape {
     bool writes = false;
     std::string text;
 
     friend auto operator<=>(const PreparedShape&, const PreparedShape&) = default;
 };
-/// Gives a statement a name that is valid within the session.
+/// Prepares a statement under a name that is valid within the session.
 struct PrepareStatement {
     std::string name;
     PreparedShape shape;
@@ -40,18 +41,18 @@
     std::string name;
     std::string arguments;
 };
-/// Forgets the name of a prepared statement.
+/// Removes the name of a prepared statement.
 struct DeallocateStatement {
     std::string name;
 };
-/// A text that is none of these; answered with an error.
+/// A statement that cannot be parsed; it is answered with StatementError::Malformed.
 struct MalformedStatement { };
 
-/// Any statement of a caller.
+/// Any statement that a caller can send.
 using CallerStatement = std::variant<BeginTransaction, CommitTransaction, RollbackTransaction, ReadItem,
     WriteItem, SetSessionValue, PrepareStatement, ExecutePrepared, DeallocateStatement, MalformedStatement>;
 
-/// A statement with the id and the text under which it is passed on unchanged.
+/// A statement with its id and its original text, which are relayed to the upstream unchanged.
 struct CallerQuery {
     std::string id;
     std::string text;
@@ -61,7 +62,7 @@
 /// The first message of a session.
 struct SessionStart {
     std::string database;
-    /// The secret of the caller's key; empty when none was sent.
+    /// The secret of the caller's key; empty when the caller sent none.
     std::string key;
 };
 
--- a/include/cyclamendrift/pooling/engine_actions.h
+++ b/include/cyclamendrift/pooling/engine_actions.h
@@ -14,95 +14,95 @@
 #include <variant>
 #include <vector>
 
-/// What a SessionEngine wants done.
+/// Actions that a SessionEngine asks its owner to carry out.
 namespace cyclamendrift {
 
-/// One connection to an upstream.
+/// Identifies one connection to an upstream.
 enum class ConnectionId : std::uint64_t {};
 
 /// Opens a transaction on a connection.
 struct OpenTransaction {
     bool readOnly = false;
-    /// The position that the upstream must have.
+    /// The log position that the upstream must have reached; empty when any position will do.
     std::optional<Progress> after;
 };
-/// Ends a transaction on a connection without keeping anything.
+/// Rolls back the transaction that is open on a connection.
 struct DropTransaction { };
-/// A caller's statement, passed on under its id and with its text.
+/// A caller's statement, relayed with its id and text unchanged.
 struct RelayStatement {
     std::string id;
     std::string text;
     std::optional<Progress> after;
-    /// Set when the statement runs a prepared one: the connection's name for it, and the arguments.
+    /// Set for a prepared statement: its name on this connection, and the arguments.
     std::optional<ExecutePrepared> execute;
 };
-/// What goes to an upstream over a connection.
+/// A statement that is sent to an upstream over a connection.
 using UpstreamStatement = std::variant<ResetConnection, ApplyValue, ApplyPrepared, OpenTransaction,
     DropTransaction, RelayStatement>;
 
-/// Open a connection on behalf of a team; the upstream is to confirm its name.
+/// Opens a connection on behalf of a team. The upstream has to confirm its name.
 struct OpenConnection {
     ConnectionId connection {};
     UpstreamEntry upstream;
     TeamName team;
 };
-/// Send a statement.
+/// Sends a statement over a connection.
 struct SendStatement {
     ConnectionId connection {};
     UpstreamStatement statement;
 };
-/// Close a connection.
+/// Closes a connection.
 struct CloseConnection {
     ConnectionId connection {};
 };
-/// Tell a caller that its session is open.
+/// Tells a caller that its session is open.
 struct AcceptCaller {
     CallerId caller {};
 };
-/// Answer a caller's statement.
+/// Sends a caller the reply to its statement.
 struct AnswerCaller {
     CallerId caller {};
     Reply reply;
 };
-/// End a caller's session, after an error when one is given.
+/// Ends a caller's session, after an error if one is given.
 struct CloseCaller {
     CallerId caller {};
     std::optional<StatementFailure> failure;
 };
-/// Ask siblings for part of their share of a team's limit; the answer comes through tokensReceived().
+/// Asks siblings for part of their share of a team's limit. The result is reported to tokensReceived().
 struct RequestTokens {
     TeamName team;
     std::uint32_t wanted = 0;
 };
-/// Hand a caller's statement to the home of its service; what becomes of it comes through
+/// Forwards a caller's statement to an owner VM of its service. The result is reported to
 /// forwardedStatementAnswered() or forwardingFailed().
 struct ForwardStatement {
     CallerId caller {};
     VmName owner;
     ForwardedStatement work;
-    /// The home's answer is given up after this.
+    /// Time after which the owner's answer is no longer awaited.
     Duration timeLimit {};
 };
-/// Ask a home for a sign of life; whether it gave one comes through ownerLivenessChecked().
+/// Checks whether an owner VM responds. The result is reported to ownerLivenessChecked().
 struct CheckOwnerLiveness {
     VmName owner;
 };
-/// Tell a home that nobody goes on with a guest's transaction.
+/// Tells an owner VM that a remote session has ended, so that it can roll back the session's transaction.
 struct ReleaseRemoteSession {
     VmName owner;
     CallerId remoteSession {};
 };
-/// Answer a statement that a sibling handed on.
+/// Replies to a statement that a sibling forwarded to this VM.
 struct AnswerRemoteSession {
     CallerId remoteSession {};
     Reply reply;
 };
-/// A decision that the log should hold.
+/// An event for the log.
 struct LogEvent {
     std::string event;
     std::vector<std::pair<std::string, std::string>> fields;
 };
-/// Anything that an engine wants done.
+/// Any action of a SessionEngine.
 using EngineAction = std::variant<OpenConnection, SendStatement, CloseConnection, AcceptCaller, AnswerCaller,
     CloseCaller, RequestTokens, ForwardStatement, CheckOwnerLiveness, ReleaseRemoteSession,
     AnswerRemoteSession, LogEvent>;
--- a/include/cyclamendrift/pooling/forwarded_statement.h
+++ b/include/cyclamendrift/pooling/forwarded_statement.h
@@ -12,31 +12,33 @@
 
 namespace cyclamendrift {
 
-/// One session, as a number that no other session of this VM has had.
+/// Identifies one session; never reused on a VM.
 enum class CallerId : std::uint64_t {};
 
-/// What a statement does to the data, which decides what may be said when its answer does not come.
+/// Effect of a statement on the stored items. It determines what the caller is told when the upstream's
+/// answer is lost.
 enum class StatementKind : std::uint8_t { Read, Write, Commit };
 
-/// A statement that a VM hands to the home of its service, with all that the home needs to run it. Keys and
-/// limits were checked by the VM that hands it on.
+/// A statement that a VM forwards to an owner VM of its service, with everything that the owner needs to run
+/// it. The forwarding VM has already checked the key and the team's limit.
 struct ForwardedStatement {
-    /// The session at the home on whose behalf it runs; drawn at random, so that no two VMs choose the same.
+    /// The session at the owner on whose behalf the statement runs. It is drawn at random, so that no two VMs
+    /// use the same id.
     CallerId remoteSession {};
-    /// It goes on in the transaction that the guest has open.
+    /// True when the statement continues the remote session's open transaction.
     bool continuesTransaction = false;
     CallerQuery query;
     StatementKind kind = StatementKind::Read;
     TeamName team;
     Route route;
-    /// The session's values, and the prepared statement that it runs, if it runs one.
+    /// The session's variables and, for a prepared statement, its definition.
     SessionState state;
     bool inTransaction = false;
     bool readOnly = false;
-    /// What the session has written to this service, and how long ago.
+    /// Progress of the session's last write to this service, and the time since then.
     std::optional<Progress> requiredProgress;
     Duration requiredProgressAge {};
-    /// How long the statement has waited already.
+    /// How long the statement has been waiting so far.
     Duration waited {};
 };
 
--- a/include/cyclamendrift/pooling/leader_view.h
+++ b/include/cyclamendrift/pooling/leader_view.h
@@ -8,26 +8,26 @@
 
 namespace cyclamendrift {
 
-/// Who leads a group, and until when this VM may act on it. A promoter waits until every VM's view has either
-/// been replaced or lapsed before it lets a new primary lead, so a view that holds names the only primary
-/// there is.
+/// A VM's view of the primary of a group, with the time until which the VM may act on it. A promoter waits
+/// until every VM's view has been replaced or has expired before it lets a new primary lead. A valid view
+/// therefore names the only primary.
 struct LeaderView {
     enum class Phase : std::uint8_t {
-        /// Nothing is known yet.
+        /// No record of the group has been read yet.
         Unknown,
         /// The primary is being replaced.
         Changing,
-        /// `primary` leads `term`.
+        /// `primary` is the primary in `term`.
         Settled,
     };
 
     Phase phase = Phase::Unknown;
     UpstreamName primary;
     Term term {};
-    /// The view holds before this instant.
+    /// The view is valid before this instant.
     Instant expiresAt = Instant::min();
 
-    /// True while work may be sent to the primary.
+    /// True while statements may be sent to the primary.
     [[nodiscard]] bool isValid(Instant now) const noexcept
     {
         return this->phase == Phase::Settled && now < this->expiresAt;
--- a/include/cyclamendrift/pooling/owner_health.h
+++ b/include/cyclamendrift/pooling/owner_health.h
@@ -8,22 +8,22 @@
 
 namespace cyclamendrift {
 
-/// Which homes can be reached. A statement may take long because it is slow, or because nothing gets through
-/// to its home; a home that is slow to answer is therefore asked for a sign of life, and one that gives none
-/// is out of reach until it does.
+/// Tracks which owner VMs can be reached. A statement may take long because it is slow, or because the
+/// network to its owner is interrupted. An owner that has not answered for a while therefore gets a liveness
+/// check; one that fails the check counts as unreachable until it answers again.
 ///
-///     for (const auto& home : health.due(now))
-///         askForSignOfLife(home);
+///     for (const auto& owner : health.beginDueChecks(now))
+///         checkLiveness(owner);
 class OwnerHealth {
 public:
-    /// Statements wait at these homes, the oldest of each since that instant.
+    /// Sets the owners at which statements wait, each with the time of its oldest statement.
     void recordWaiting(const std::map<VmName, Instant>& oldest);
-    /// A home has answered something.
+    /// Records that an owner has answered any request.
     void answered(const VmName& owner, Instant now);
 
-    /// The homes to ask for a sign of life now; each counts as asked.
+    /// Starts the checks that are due and returns the owners to check.
     [[nodiscard]] std::vector<VmName> beginDueChecks(Instant now);
-    /// Takes in what came of a question; returns true when the home is newly out of reach.
+    /// Records the result of a check. Returns true when the owner has become unreachable by it.
     [[nodiscard]] bool checkEnded(const VmName& owner, bool alive, Instant now);
 
     [[nodiscard]] bool isUnreachable(const VmName& owner) const;
@@ -35,7 +35,7 @@
         Instant nextCheckAt = Instant::min();
         bool checking = false;
         bool unreachable = false;
-        /// Since when it has been out of reach.
+        /// Start of the time in which it has been unreachable.
         Instant unreachableSince = Instant::min();
     };
 
--- a/include/cyclamendrift/pooling/progress_history.h
+++ b/include/cyclamendrift/pooling/progress_history.h
@@ -8,32 +8,33 @@
 
 namespace cyclamendrift {
 
-/// How far the primary's log had come at known times, taken from the answers it gives anyway. It lets a read
-/// on a replica name the position that it needs: everything acknowledged before `seenAt` is covered by
-/// `progress`.
+/// Progress of the primary's log over time, taken from its answers to statements. A read on a replica uses it
+/// to name the position that the replica must have reached: `progress` covers everything that was
+/// acknowledged before `seenAt`.
 ///
-///     history.note({ .progress = reply.progress, .seenAt = sentAt });
-///     history.covering(now - maxStaleness); // the oldest position that is fresh enough
+///     history.record({ .progress = reply.progress, .seenAt = sentAt });
+///     history.oldestCovering(now - maxStaleness); // the oldest position that is fresh enough
 class ProgressHistory {
 public:
     struct Observation {
         Progress progress;
-        /// When the statement was sent whose answer told the position.
+        /// When the statement was sent whose answer reported the progress.
         Instant seenAt;
     };
 
-    /// Takes an observation in. One of a higher term drops those of lower terms, whose log may have been cut.
+    /// Adds an observation. One of a higher term discards those of lower terms, whose log may have been
+    /// truncated.
     void record(const Observation& observation);
 
-    /// The oldest position that covers every commit acknowledged before `instant`; it is the one that a
-    /// lagging replica most likely has. Empty when nothing was observed since.
+    /// The oldest observation that covers every commit acknowledged before `instant`; a lagging replica is
+    /// most likely to have reached it. Empty when nothing was observed since `instant`.
     [[nodiscard]] std::optional<Observation> oldestCovering(Instant instant) const;
 
-    /// How far a log that has come to `progress` is behind the primary at least; zero when nothing beyond it
-    /// was seen.
+    /// Lower bound of the time by which a log at `progress` lags behind the primary; zero when no later
+    /// progress was observed.
     [[nodiscard]] Duration lagOf(const Progress& progress, Instant now) const;
 
-    /// Drops everything.
+    /// Discards all observations.
     void clear() noexcept { this->observations.clear(); }
 
 private:
--- a/include/cyclamendrift/pooling/reply.h
+++ b/include/cyclamendrift/pooling/reply.h
@@ -7,12 +7,12 @@
 #include <string>
 #include <vector>
 
-/// Answers of upstreams, and answers to callers.
+/// Replies of upstreams, and replies to callers.
 namespace cyclamendrift {
 
-/// Why a statement got no success.
+/// Reason for which a statement failed.
 enum class StatementError : std::uint8_t {
-    // Nothing was run.
+    // The statement was not run.
     Busy,
     Lagging,
     ReadOnly,
@@ -23,35 +23,35 @@
     UnknownDatabase,
     TooLarge,
     Malformed,
-    /// What the transaction did so far is dropped.
+    /// The transaction was rolled back.
     Aborted,
-    // Something was run.
+    // The statement was run.
     Failed,
     Timeout,
-    /// It is not known whether it took effect.
+    /// It is unknown whether the statement took effect.
     InDoubt,
 };
 
-/// Where a session stands after an answer.
+/// Transaction state of a session after a reply.
 enum class SessionPhase : std::uint8_t { Idle, InTransaction, FailedTransaction };
 
-/// An error with its explanation for people.
+/// An error with a message for the user.
 struct StatementFailure {
     StatementError error = StatementError::Busy;
     std::string text;
 };
 
-/// A whole answer to one statement: rows and the upstream's proof that it ran, or a failure.
+/// The complete reply to a statement: either its rows and the upstream's proof that it ran, or a failure.
 struct Reply {
     std::vector<std::string> rows;
     std::string proof;
     std::optional<StatementFailure> failure;
     SessionPhase phase = SessionPhase::Idle;
-    /// How far the upstream's log has come.
+    /// Progress of the upstream's log; empty when it was not reported.
     std::optional<Progress> progress;
 };
 
-/// True when an upstream that answers with this error has run nothing of the statement.
+/// True when an upstream that replies with this error has not run the statement.
 [[nodiscard]] constexpr bool meansNotRun(StatementError error) noexcept
 {
     return error == StatementError::Busy || error == StatementError::Lagging
--- a/include/cyclamendrift/pooling/route_table.h
+++ b/include/cyclamendrift/pooling/route_table.h
@@ -10,37 +10,37 @@
 #include <unordered_map>
 #include <variant>
 
-/// What operators have decided: which database is served how, for whom, and how much of it.
+/// The operators' configuration of databases, keys and limits.
 namespace cyclamendrift {
 
 /// Every read sees every acknowledged commit.
 struct PrimaryRoute { };
-/// Reads may miss commits acknowledged less than `maxStaleness` ago.
+/// Reads may miss commits that were acknowledged less than `maxStaleness` ago.
 struct BoundedStalenessRoute {
     Duration maxStaleness {};
 };
-/// As bounded staleness, but a session sees all commits of its own.
+/// As BoundedStalenessRoute, but a session always sees its own commits.
 struct ReadOwnWritesRoute {
     Duration maxStaleness {};
 };
-/// How fresh the reads of a database are.
+/// Freshness of a database's reads.
 using RouteFreshness = std::variant<PrimaryRoute, BoundedStalenessRoute, ReadOwnWritesRoute>;
 
 /// How the statements for one database are served.
 struct Route {
     ServiceName service;
     RouteFreshness freshness;
-    /// Longest time of a single statement.
+    /// Maximum duration of a single statement.
     Duration statementTimeout {};
-    /// Time within which callers want a whole operation done.
+    /// Latency that callers expect of a whole operation.
     Duration targetLatency {};
-    /// 0 goes first.
+    /// Lower values take precedence; 0 is the most urgent.
     std::uint32_t priority = 0;
     /// True when callers need no key.
     bool isPublic = false;
 };
 
-/// A team's rate and burst over all VMs together.
+/// A team's rate and burst across all VMs.
 struct TeamLimit {
     double ratePerSecond = 0;
     double burst = 0;
@@ -48,26 +48,27 @@
     friend bool operator==(const TeamLimit&, const TeamLimit&) = default;
 };
 
-/// One version of the operators' decisions; never changed, only replaced by one with a higher version.
+/// One version of the operators' configuration. It is immutable and is replaced by a version with a higher
+/// number.
 struct RouteTable {
     std::uint64_t version = 0;
-    /// Routes by the name of their database.
+    /// Routes by database name.
     std::unordered_map<std::string, Route> routes;
-    /// Teams by the secret of their keys.
+    /// Teams by the secrets of their keys.
     std::unordered_map<std::string, TeamName> keys;
     std::map<TeamName, TeamLimit> limits;
-    /// Connections to one upstream that all VMs may hold together.
+    /// Maximum number of connections to one upstream across all VMs, by service.
     std::map<ServiceName, std::uint32_t> connectionCaps;
-    /// A transaction in which the caller rests for longer may be ended.
+    /// A transaction that has been idle for longer may be aborted.
     Duration maxTransactionIdleTime = std::chrono::seconds { 3 };
 
-    /// The route of a database, or null.
+    /// Returns the route of a database, or null.
     [[nodiscard]] const Route* findRoute(const std::string& database) const;
-    /// The team that holds a key, or null.
+    /// Returns the team that a key belongs to, or null.
     [[nodiscard]] const TeamName* findTeam(const std::string& key) const;
 };
 
-/// The staleness that a route allows its reads; none for primary routes.
+/// The staleness that a route allows its reads; zero for PrimaryRoute.
 [[nodiscard]] Duration maxStalenessOf(const RouteFreshness& freshness) noexcept;
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/pooling/service_owners.h
+++ b/include/cyclamendrift/pooling/service_owners.h
@@ -10,39 +10,40 @@
 
 namespace cyclamendrift {
 
-/// Which VMs hold the connections to the upstreams of a service. A connection is bound to one team and
-/// opening one takes an upstream as long as a short statement. Spread over 70 VMs each has one connection to
-/// an upstream, which fits the next caller's team once in twenty times, and 70 VMs together queue far more
-/// statements at an upstream than it can do in time. A few homes keep connections open for most teams and see
-/// enough answers to know what the upstream bears. A VM whose even part of the connections suffices for its
-/// callers does without homes. Homes are chosen among the strongest VMs, as each VM keeps a link to each home
-/// that it speaks to. Used on one thread, as it remembers what it chose.
+/// Selects the owners of a service: the VMs that hold the connections to its upstreams. A connection is bound
+/// to one team, and opening one takes an upstream as long as a short statement. Spread over 70 VMs, each VM
+/// has one connection to an upstream, which fits the team of the next caller once in twenty times, and
+/// together the VMs queue far more statements at an upstream than it can run in time. A few owners keep
+/// connections open for most teams and see enough answers to know the load that the upstream can take. A VM
+/// whose even share of the connections suffices for its callers does not use owners. Owners are selected
+/// among the strongest VMs, so that each VM keeps links to few others. Not thread-safe, as results are
+/// cached.
 ///
-///     const auto order = homes.rankedOwners(service, team, connectionCap);
-///     if (order.front() != homes.self()) handOn(order.front(), work);
+///     const auto& ranked = owners.rankedOwners(service, team, connectionCap);
+///     if (ranked.front() != owners.self()) forward(ranked.front(), statement);
 class ServiceOwners {
 public:
     ServiceOwners(VmName self, const std::map<VmName, VmStrength>& listed);
 
-    /// True when so many VMs are more than the homes of a service; with fewer every VM would be one.
+    /// True when there are more VMs than a service has owners; otherwise every VM would be an owner.
     [[nodiscard]] static bool areUseful(std::size_t vms) noexcept;
 
     [[nodiscard]] const VmName& self() const noexcept { return this->selfName; }
 
-    /// The homes of a service whose upstreams bear so many connections each; the same on every VM.
+    /// The owners of a service whose upstreams accept `connectionCap` connections each; the same on every VM.
     [[nodiscard]] const std::vector<VmName>& ownersOf(
         const ServiceName& service, std::uint32_t connectionCap);
 
-    /// These homes in the order in which a team's work goes to them: all of it to the first one that can be
-    /// reached.
+    /// The owners in the order in which a team's statements are forwarded: all of them to the first one that
+    /// can be reached.
     [[nodiscard]] const std::vector<VmName>& rankedOwners(
         const ServiceName& service, const TeamName& team, std::uint32_t connectionCap);
 
-    /// Connections to one upstream that this VM may hold.
+    /// Maximum number of connections that this VM may hold to one upstream.
     [[nodiscard]] std::size_t connectionShareOf(const ServiceName& service, std::uint32_t connectionCap);
 
 private:
-    /// What was chosen for a service, as long as its upstreams bear as many connections.
+    /// The cached selection for a service; recomputed when the connection cap changes.
     struct Selection {
         std::uint32_t connectionCap = 0;
         std::vector<VmName> owners;
@@ -57,7 +58,7 @@
         const std::vector<VmName>& owners, std::uint32_t connectionCap) const;
 
     VmName selfName;
-    /// The VMs among which homes are chosen.
+    /// The VMs among which owners are selected.
     std::map<VmName, VmStrength> candidates;
     std::map<ServiceName, Selection> selections;
 };
--- a/include/cyclamendrift/pooling/session_engine.h
+++ b/include/cyclamendrift/pooling/session_engine.h
@@ -22,37 +22,37 @@
 
 namespace cyclamendrift {
 
-/// What this VM saw of an upstream through the work it sent there.
+/// What this VM has observed of an upstream through the statements that it sent there.
 struct UpstreamHealth {
     ServiceName service;
     UpstreamName upstream;
     /// When it last answered anything.
     Instant lastAnswer = Instant::min();
-    /// Since when every try to reach it has failed; empty when the last one did not.
+    /// Start of the current series of failed attempts to reach it; empty when the last attempt succeeded.
     std::optional<Instant> failingSince;
-    /// A term above that of the view, or a refusal of its primary to act as one, was seen in the upstream's
-    /// group; the view is not acted on any more.
+    /// True when the upstream's group has shown a term above that of the view, or its primary has refused to
+    /// act as one. The view is then no longer used.
     bool contradictsView = false;
 };
 
-/// This VM among those that share the connections of upstreams.
+/// This VM's rank among the VMs that share the connections to the upstreams.
 struct FleetPlace {
-    /// 0 while nothing is known of the others; one connection to each upstream is all that is safe then.
+    /// Number of VMs; 0 while the other VMs are unknown. Then only one connection to each upstream is safe.
     std::size_t vms = 0;
     std::size_t rank = 0;
-    /// Who holds the connections of which service; null while every VM holds a part.
+    /// The owners of each service; null while every VM holds a share of the connections.
     std::shared_ptr<ServiceOwners> owners;
 };
 
-/// Why there is no answer from a home.
+/// Why an owner VM has given no answer.
 enum class ForwardFailure : std::uint8_t {
-    /// The home has not seen the statement, or has not taken it.
+    /// The owner has not received the statement, or has not accepted it.
     NotAccepted,
-    /// It may have run.
+    /// The statement may have run.
     Lost,
 };
 
-/// What an engine has counted since it was made.
+/// Counts since the engine was created.
 struct EngineCounters {
     std::uint64_t answered = 0;
     std::uint64_t refused = 0;
@@ -62,15 +62,15 @@
     std::uint64_t connectionsOpened = 0;
     std::uint64_t readsOnReplicas = 0;
     std::uint64_t readsOnPrimary = 0;
-    /// Statements handed to a home, and those that siblings handed to this VM.
+    /// Statements forwarded to owner VMs, and statements accepted from siblings.
     std::uint64_t forwarded = 0;
     std::uint64_t acceptedFromSiblings = 0;
 };
 
-/// Serves callers' sessions from a pool of upstream connections: checks keys and limits, keeps each session's
-/// values, names and transaction, chooses an upstream whose log is known to cover what a read must see, and
-/// never sends a write twice. Does no I/O: its owner reports what happens and carries out what takeActions()
-/// returns.
+/// Serves callers' sessions from a pool of upstream connections. It checks keys and limits, keeps the
+/// variables, prepared statements and transaction of each session, selects an upstream whose log is known to
+/// cover what a read must see, and never sends a write twice. It does no I/O: its owner reports events and
+/// carries out the actions that takeActions() returns. Not thread-safe.
 ///
 ///     engine.callerStartedSession(caller, start, now);
 ///     engine.callerSentStatement(caller, query, now);
@@ -80,7 +80,7 @@
     struct Options {
         ZoneName zone;
         EngineSettings settings;
-        /// Source of numbers for guests; unique to this process.
+        /// Seed for the ids of remote sessions; must be unique to this process.
         std::uint64_t seed = 0;
     };
 
@@ -89,53 +89,53 @@
     SessionEngine(const SessionEngine&) = delete;
     SessionEngine& operator=(const SessionEngine&) = delete;
 
-    // What callers do.
+    // Events of callers.
     void callerConnected(CallerId caller, Instant now);
     void callerStartedSession(CallerId caller, const SessionStart& start, Instant now);
     void callerSentStatement(CallerId caller, CallerQuery query, Instant now);
     void callerDisconnected(CallerId caller, Instant now);
 
-    // What happens to connections.
+    // Events of connections.
     void connectionOpened(ConnectionId connection, std::optional<Progress> progress, Instant now);
     void connectionRefused(ConnectionId connection, StatementError error, Instant now);
     void connectionLost(ConnectionId connection, Instant now);
     void upstreamReplied(ConnectionId connection, Reply reply, Instant now);
 
-    // What siblings hand on, and what becomes of what this VM has handed on.
+    // Statements that siblings forward to this VM, and results of those that this VM has forwarded.
     void forwardedStatementReceived(ForwardedStatement work, Instant now);
     void remoteSessionReleased(CallerId remoteSession, Instant now);
-    // `guest` is that of the work, which may have been given up meanwhile.
+    // `remoteSession` is the id that was forwarded; the session may have given up on that statement since.
     void forwardedStatementAnswered(CallerId caller, CallerId remoteSession, Reply reply, Instant now);
     void forwardingFailed(CallerId caller, CallerId remoteSession, ForwardFailure failure, Instant now);
-    /// A home was asked for a sign of life.
+    /// Reports whether an owner VM responded to a liveness check.
     void ownerLivenessChecked(const VmName& owner, bool alive, Instant now);
 
-    // What the control side knows.
+    // Updates from the control plane.
     void setRoutes(std::shared_ptr<const RouteTable> routes, Instant now);
     void setDirectory(const UpstreamDirectory& directory, Instant now);
     void setLeader(const ServiceName& service, const LeaderView& view, Instant now);
     void setPlace(const FleetPlace& place, Instant now);
     void setShares(const std::map<TeamName, TeamShare::Rule>& shares, Instant now);
 
-    /// Siblings gave this VM part of their shares, or nothing.
+    /// Reports how many tokens siblings gave this VM; may be zero.
     void tokensReceived(const TeamName& team, std::uint32_t given, Instant now);
-    /// Takes up to `wanted` operations out of this VM's share, for a sibling.
+    /// Deducts up to `wanted` tokens from this VM's share for a sibling and returns their number.
     [[nodiscard]] std::uint32_t giveTokens(const TeamName& team, std::uint32_t wanted, Instant now);
 
-    /// Begins a planned stop: sessions are closed when they are idle, open transactions may go on until
-    /// `abortAt`.
+    /// Starts a graceful shutdown: idle sessions are closed from `closeIdleFrom` on, and open transactions
+    /// are aborted at `abortAt`.
     void drain(Instant closeIdleFrom, Instant abortAt);
 
-    /// To be called every 20 ms or so: timeouts, refusals of what waited too long, idle connections.
+    /// Handles timeouts, waiting statements and idle connections; to be called about every 20 ms.
     void tick(Instant now);
 
-    /// Everything to be done now, in order.
+    /// Returns the actions to be carried out, in order, and clears them.
     [[nodiscard]] std::vector<EngineAction> takeActions();
 
-    /// What was seen of upstreams; for the control side, which decides about primaries.
+    /// Observations for the control plane, which decides on primaries.
     [[nodiscard]] std::vector<UpstreamHealth> upstreamHealth() const;
 
-    /// Operations that each team asked for since the last call, admitted or not.
+    /// Operations that each team has asked for since the last call, whether admitted or not.
     [[nodiscard]] std::map<TeamName, std::uint64_t> takeDemand();
 
     [[nodiscard]] const EngineCounters& counters() const noexcept;
--- a/include/cyclamendrift/pooling/session_state.h
+++ b/include/cyclamendrift/pooling/session_state.h
@@ -7,12 +7,12 @@
 #include <variant>
 #include <vector>
 
-/// What belongs to a session and has to be in place on whichever connection serves it.
+/// State of a session that has to be set up on whichever connection serves it.
 namespace cyclamendrift {
 
-/// Drops all values and names of a connection.
+/// Discards all variables and prepared statements of a connection.
 struct ResetConnection { };
-/// Sets a value on a connection.
+/// Sets a session variable on a connection.
 struct ApplyValue {
     std::string name;
     std::string value;
@@ -22,25 +22,27 @@
     std::string name;
     PreparedShape shape;
 };
-/// A step that makes a connection match a session.
+/// A step that brings a connection's state in line with a session.
 using SetupStep = std::variant<ResetConnection, ApplyValue, ApplyPrepared>;
 
-/// Values and names as a session's caller has set them.
+/// Variables and prepared statements that a session's caller has set.
 struct SessionState {
     std::map<std::string, std::string> values;
     std::map<std::string, PreparedShape> prepared;
 };
 
-/// Values and names as they are in place on one connection. Names are the connection's own, one for each
-/// shape, so that sessions whose callers chose the same name for different statements never meet.
+/// Variables and prepared statements that are set on one connection. The names of prepared statements are the
+/// connection's own, one for each shape. Sessions whose callers use the same name for different statements
+/// therefore do not conflict.
 class ConnectionState {
 public:
-    /// The steps after which the connection has exactly the session's values and, when `needed` is given, a
-    /// name for that shape. They count as done at once: if one fails the connection is to be closed.
+    /// Returns the steps after which the connection has exactly the session's variables and, if `needed` is
+    /// given, a prepared statement of that shape. The steps are recorded as done at once, so the connection
+    /// has to be closed when one fails.
     [[nodiscard]] std::vector<SetupStep> stepsToMatch(
         const SessionState& session, const PreparedShape* needed);
 
-    /// The connection's name for a shape that was matched.
+    /// The connection's name for a shape that stepsToMatch() has prepared.
     [[nodiscard]] const std::string& nameOf(const PreparedShape& shape) const;
 
 private:
--- a/include/cyclamendrift/pooling/upstream_directory.h
+++ b/include/cyclamendrift/pooling/upstream_directory.h
@@ -8,29 +8,30 @@
 
 namespace cyclamendrift {
 
-/// An upstream by the identity that it drew when it started; addresses are used again, identities are not.
+/// Identity that an upstream draws when it starts. Unlike addresses, identities are never reused.
 using UpstreamName = Identifier<struct UpstreamNameTag>;
 
-/// One upstream as it describes itself.
+/// An upstream as it describes itself in the directory.
 struct UpstreamEntry {
     UpstreamName name;
     ServiceName service;
     std::string host;
     std::uint16_t port = 0;
     ZoneName zone;
-    /// Statements that it works on at a time.
+    /// Maximum number of statements that it runs at a time.
     std::uint32_t maxConcurrency = 1;
-    /// True once it has announced that it ends; it gets no new work.
+    /// True once it has announced its shutdown; it gets no new statements.
     bool draining = false;
-    /// True when it takes itself for the primary.
+    /// True when it considers itself the primary.
     bool claimsPrimary = false;
-    /// Milliseconds since 1970 at which it started; tells a restart under the same name from going on.
+    /// Start time in milliseconds since 1970; tells a restart under the same name from an upstream that kept
+    /// running.
     std::int64_t startedAtMs = 0;
 
     friend bool operator==(const UpstreamEntry&, const UpstreamEntry&) = default;
 };
 
-/// All upstreams that are known to be there.
+/// All upstreams that are listed.
 using UpstreamDirectory = std::vector<UpstreamEntry>;
 
 } // namespace cyclamendrift
--- a/src/pooling/caller_session.h
+++ b/src/pooling/caller_session.h
@@ -23,24 +23,24 @@
 struct Work {
     CallerQuery query;
     StatementKind kind = StatementKind::Read;
-    /// Only the primary will do.
+    /// True when only the primary can run it.
     bool needsPrimary = false;
-    /// The statement is the first of its transaction, which is opened on the upstream along with it.
+    /// True for the first statement of a transaction, which is opened on the upstream along with it.
     bool opensTransaction = false;
     Instant arrivedAt;
-    /// Refused when no upstream has got it by then.
+    /// Refused when no upstream has been found by then.
     Instant dispatchDeadline;
-    /// Given up when it is not answered by then.
+    /// Abandoned when it has not been answered by then.
     Instant deadline;
     std::size_t attempts = 0;
-    /// The connection that is being opened for it, or that serves it.
+    /// The connection that is being opened for it, or that runs it.
     std::optional<ConnectionId> connection;
-    /// The home that it was handed to, and when.
+    /// The owner VM that it was forwarded to, and when.
     std::optional<VmName> forwardedTo;
     Instant forwardedAt;
-    /// The home that has it now, or null.
+    /// The owner VM that currently has it, or null.
     [[nodiscard]] const VmName* owner() const { return this->forwardedTo ? &*this->forwardedTo : nullptr; }
-    /// The prepared statement that it runs, if it runs one.
+    /// The shape of the prepared statement; empty for other statements.
     std::optional<PreparedShape> shape;
     /// When to send it again on the connection that holds its transaction.
     Instant retryAt = Instant::max();
@@ -48,57 +48,58 @@
     PassedOver<UpstreamName> skipped;
 };
 
-/// An operation that waits for its team's limit to let it in.
+/// An operation that waits for a token of its team's limit.
 struct WaitingOperation {
     CallerQuery query;
     Instant until;
 };
 
-/// An answer that is ready but may only be given once the view of the primary is known to have held.
+/// A reply that is withheld until it is confirmed that its upstream was still the primary.
 struct UnconfirmedReply {
     Reply reply;
     UpstreamName upstream;
     Term term {};
-    /// The answer becomes "in doubt" at this time.
+    /// The reply becomes "in doubt" at this time.
     Instant until;
 };
 
-/// One caller's session.
+/// The session of one caller, or of a sibling's caller.
 struct CallerSession {
     CallerId id {};
     bool started = false;
-    /// It stands for a session of a sibling, which handed its statement to this VM.
+    /// True when it stands for a session of a sibling, which forwarded its statement to this VM.
     bool remoteSession = false;
     std::string database;
     std::string key;
     TeamName team;
     SessionState state;
     SessionPhase phase = SessionPhase::Idle;
-    /// Statements that came in ahead of their turn.
+    /// Statements that arrived before the previous ones were answered.
     std::deque<CallerQuery> pipelined;
     std::unique_ptr<Work> work;
     std::unique_ptr<UnconfirmedReply> unconfirmed;
     std::unique_ptr<WaitingOperation> waiting;
-    /// The operation under way was taken out of its team's limit, and no upstream has run any of it.
+    /// True when the current operation has used a token of its team's limit, but no upstream has run any of
+    /// it.
     bool tokenSpent = false;
-    /// The statement that came in last, as log lines name it.
+    /// Id of the latest statement, for log lines.
     std::string statementId;
-    /// When the statement under way came in.
+    /// When the current statement arrived.
     Instant arrivedAt;
 
-    /// The route of the operation under way; a change of it counts from the next operation on.
+    /// The route of the current operation; changes apply from the next operation on.
     Route route;
     /// The connection that holds the open transaction.
     std::optional<ConnectionId> pinned;
-    /// The home that holds the open transaction in this VM's place, and the guest it holds it for.
+    /// The owner VM that holds the open transaction on behalf of this VM, and the remote session's id there.
     std::optional<VmName> owner;
     CallerId sessionAtOwner {};
     bool transactionReadOnly = false;
     bool transactionWrote = false;
-    /// The transaction was dropped between two statements; the next one is told so.
+    /// True when the transaction was aborted between two statements and the caller has not been told yet.
     bool abortUnreported = false;
 
-    /// What the session has written, and where.
+    /// Progress of the session's last write, with its time and service.
     std::optional<Progress> requiredProgress;
     Instant requiredProgressAt;
     ServiceName requiredProgressService;
--- a/src/pooling/engine_answers.cpp
+++ b/src/pooling/engine_answers.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// An answer that is ready waits no longer than this to learn that the view held; renewals come three times a
+// Maximum time for which a reply is withheld until the view is confirmed. Views are renewed three times a
 // second.
 constexpr Duration maxUnconfirmedTime = std::chrono::milliseconds { 800 };
 
@@ -27,7 +27,7 @@
 
 void SessionEngine::State::finishAbandoned(PooledConnection& connection, const Reply& reply)
 {
-    // The caller is gone; what its transaction did is dropped.
+    // The caller has left, so its transaction is rolled back.
     connection.inTransaction = reply.phase != SessionPhase::Idle;
     connection.steps.clear();
     if (connection.inTransaction)
@@ -37,7 +37,7 @@
 
 void SessionEngine::State::finishSingle(PooledConnection& connection, CallerSession& session, Reply reply)
 {
-    // Letting go of the connection may close it or give it to other work.
+    // Copied first: releasing the connection may close it or assign it to another statement.
     const RunPlace place {
         .upstream = connection.upstream, .sentAt = connection.sentAt, .viewTerm = connection.viewTerm
     };
@@ -50,7 +50,7 @@
         this->release(connection);
     else
         this->close(connection);
-    // A read leaves nothing behind and may run again.
+    // A read has no side effects and can be run again.
     if (mayBeStale)
         return this->retry(session, UpstreamName {}, Duration {}, StatementError::Busy);
     if (!notRun)
@@ -71,12 +71,13 @@
         const bool mayTry = work.attempts + 1 < this->options.settings.attempts && this->now < work.deadline;
         if (!stands || !mayTry)
             return this->failTransaction(connection, session, *reply.failure, reply.phase);
-        // The upstream was full and the transaction stands as before.
+        // The upstream was at its maximum concurrency, and the transaction is still open.
         ++work.attempts;
         work.retryAt = this->now + this->options.settings.busyBackoff;
         return;
     }
-    // Nothing was committed yet, so nothing of the transaction is kept.
+    // The read may have missed commits of the newer primary. Nothing has been committed yet, so the whole
+    // transaction can be rolled back.
     if (work.kind == StatementKind::Read && connection.isFromLaterTerm(reply))
         return this->dropTransaction(session, "a newer primary leads");
     const RunPlace place {
@@ -92,7 +93,7 @@
     }
     session.transactionWrote = session.transactionWrote || work.kind == StatementKind::Write;
     connection.inTransaction = true;
-    // While its caller thinks, the upstream has room for somebody else's statement.
+    // While the transaction is idle, the upstream can run another statement.
     this->dispatchWaiting(this->group(connection.service));
     this->finishStatement(session, std::move(reply), place, false);
 }
@@ -100,11 +101,12 @@
 void SessionEngine::State::failTransaction(
     PooledConnection& connection, CallerSession& session, StatementFailure failure, SessionPhase phase)
 {
-    // What fails inside a transaction takes all of it along.
+    // A failed statement aborts its whole transaction.
     const bool commits = session.work->kind == StatementKind::Commit;
     const bool dropped = meansNotRun(failure.error) && (!commits || phase != SessionPhase::InTransaction);
     this->logFailure(session, connection.upstream, failure);
-    // A caller may send a write within its transaction for reading, which any upstream refuses.
+    // A write within a read-only transaction is refused by every upstream, so it says nothing about the
+    // primary.
     if (failure.error == StatementError::ReadOnly && !session.transactionReadOnly)
         this->recordLeadRefusal(connection);
     connection.inTransaction = phase != SessionPhase::Idle;
@@ -161,12 +163,12 @@
         return this->answer(session, std::move(reply));
     if (reply.progress)
         recordOwnWrite(session, *reply.progress, place.sentAt);
-    // Without a position the answer speaks for the term of the view under which its statement was sent.
+    // An answer without a position belongs to the term of the view under which its statement was sent.
     const auto term = reply.progress ? reply.progress->term : place.viewTerm.value_or(Term {});
     if (group.isLedBy(place.upstream, this->now) && group.view.term == term)
         return this->answer(session, std::move(reply));
-    // The commit is there, but a new primary may have been promoted meanwhile, with a log that lacks it. The
-    // caller is told of success only once it is known that this was not so.
+    // The write is committed, but a new primary whose log lacks it may have been promoted meanwhile. Success
+    // is only reported once this is known not to be the case.
     session.unconfirmed = std::make_unique<UnconfirmedReply>(UnconfirmedReply { .reply = std::move(reply),
         .upstream = place.upstream,
         .term = term,
@@ -178,7 +180,8 @@
 bool SessionEngine::State::canBeConfirmed(const GroupState& group, const UnconfirmedReply& unconfirmed) const
 {
     const auto& view = group.view;
-    // A view of an earlier term may only be late: one of the answer's own term still shows that it stands.
+    // A view of an earlier term may merely be late: a view of the reply's own term can still confirm the
+    // commit.
     const bool viewIsLate = view.term < unconfirmed.term;
     const bool confirmedByView = view.term == unconfirmed.term && view.primary == unconfirmed.upstream
         && !group.isContradicted(this->now);
--- a/src/pooling/engine_callers.cpp
+++ b/src/pooling/engine_callers.cpp
@@ -11,7 +11,7 @@
 
 Reply ownReply() { return { .proof = ownProof }; }
 
-/// Teams of callers that need no key.
+/// Team name of callers without a key, on routes that need none.
 const TeamName& publicTeam()
 {
     static const TeamName team { "-" };
@@ -84,7 +84,7 @@
 
 void SessionEngine::State::runNextStatement(CallerSession& session)
 {
-    // Answering may end the session, so it is looked up anew each time.
+    // Answering may end the session, so it is looked up again each time.
     const auto id = session.id;
     for (auto* current = &session; current != nullptr; current = this->findCaller(id)) {
         if (current->work || current->unconfirmed || current->waiting || current->pipelined.empty())
@@ -193,8 +193,8 @@
     const auto maxWait = session.route.targetLatency / this->options.settings.admissionWaitDivisor;
     const auto position = this->queuePosition(budget, session.route.priority);
     const auto ahead = std::distance(budget.waiting.begin(), position);
-    // Siblings that had nothing a moment ago have nothing now: what this VM's own share will not let in soon
-    // enough is refused at once.
+    // While a token request backs off, siblings have no tokens either. What this VM's own share cannot admit
+    // in time is refused at once.
     const auto ownWait = budget.share.timeToNext(this->now) * static_cast<int>(ahead + 1);
     const bool siblingsHaveNone = !budget.requestingTokens && this->now < budget.nextTokenRequestAt;
     if (siblingsHaveNone && ownWait > maxWait) {
@@ -209,9 +209,8 @@
 
 std::deque<CallerId>::iterator SessionEngine::State::queuePosition(Budget& budget, std::uint32_t priority)
 {
-    // A team that asks for several times its rate has most of it refused. In order of arrival what waits
-    // longest would get in, which is what has the most time; urgent operations, with the least patience,
-    // would be refused first.
+    // Most operations of a team that asks for several times its rate are refused. In order of arrival, the
+    // ones that can wait longest would be admitted, and the urgent ones, which can wait least, refused first.
     return std::find_if(budget.waiting.begin(), budget.waiting.end(), [this, priority](CallerId id) {
         const auto* other = this->findCaller(id);
         return other != nullptr && other->route.priority > priority;
@@ -238,9 +237,8 @@
     if (budget.waiting.empty() || budget.requestingTokens || this->now < budget.nextTokenRequestAt)
         return;
     budget.requestingTokens = true;
-    // One more than wait now spares the next caller the round trip. A VM without a part of its own asks for
-    // no more than it needs: what each of 70 VMs kept at hand would let a team go far beyond its limit at
-    // once.
+    // One spare token saves the next caller the round trip. A VM without a share of its own asks for no more
+    // than it needs: if each of 70 VMs kept a spare token, a team could exceed its limit by far at once.
     const std::size_t spare = budget.share.rate() > 0 ? 1 : 0;
     const auto wanted = static_cast<std::uint32_t>(budget.waiting.size() + spare);
     this->actions.emplace_back(RequestTokens { .team = team, .wanted = wanted });
@@ -277,8 +275,8 @@
 
 void SessionEngine::State::begin(CallerSession& session, const BeginTransaction& wanted)
 {
-    // The transaction is opened on an upstream with its first statement: until then the caller may pause, and
-    // a connection would be held for nothing.
+    // The transaction is opened on an upstream with its first statement. Until then the caller may be idle,
+    // and a connection would be held for nothing.
     session.phase = SessionPhase::InTransaction;
     session.transactionReadOnly = wanted.readOnly;
     session.transactionWrote = false;
@@ -364,7 +362,8 @@
 
 void SessionEngine::State::refundToken(CallerSession& session)
 {
-    // What no upstream has run does not count against the limit; a caller that comes back would pay twice.
+    // An operation that no upstream has run does not count against the limit; otherwise a caller that retries
+    // would be charged twice.
     if (std::exchange(session.tokenSpent, false))
         this->budgets[session.team].share.receive(1, this->now);
 }
@@ -395,7 +394,7 @@
 {
     if (this->now < this->closeIdleFrom || !session.isIdle())
         return false;
-    // A caller that has just connected is about to ask; it would take the end of its session for a failure.
+    // A caller that has just connected is about to start its session and would take the close for a failure.
     if (!session.started && this->now < session.lastActive + this->options.settings.sessionStartTimeout)
         return false;
     this->closeSession(session.id, std::nullopt);
@@ -419,8 +418,8 @@
                                               : std::optional<ConnectionId> {};
     if (auto* connection = connectionId ? this->findConnection(*connectionId) : nullptr) {
         connection->user.reset();
-        // What runs goes on to its end, as a statement that is cut off in the middle costs the upstream the
-        // same; its transaction is dropped then.
+        // A running statement is not interrupted, as that would cost the upstream just as much. Its
+        // transaction is rolled back afterwards.
         connection->steps.clear();
         if (connection->inTransaction)
             connection->steps.push_back({ .kind = StepKind::Drop, .statement = DropTransaction {} });
--- a/src/pooling/engine_connections.cpp
+++ b/src/pooling/engine_connections.cpp
@@ -56,8 +56,8 @@
     if (connection == nullptr)
         return;
     auto& upstream = this->upstreamOf(*connection);
-    // A connection that was open and is cut says little of its upstream: something between may have cut it,
-    // and a new one works at once. One that could not be opened says more.
+    // The loss of an established connection says little about the upstream: the network may have cut it, and
+    // a new connection may work at once. A connection that could not be opened says more.
     if (connection->phase == PooledConnection::Phase::Opening)
         this->recordConnectFailure(upstream);
     else if (connection->phase == PooledConnection::Phase::Working && !upstream.failingSince)
@@ -81,7 +81,7 @@
     session->work->connection.reset();
     if (session->phase == SessionPhase::InTransaction && !session->work->opensTransaction
         && step != StepKind::Main) {
-        // The statement itself had not gone out, but its transaction is gone with the connection.
+        // The statement itself was not sent, but its transaction is lost with the connection.
         this->log("transaction_lost", { { "id", session->work->query.id }, { "upstream", name.string() } });
         this->dropTransaction(*session, "the transaction's connection was lost");
         return;
@@ -103,7 +103,7 @@
     const bool mayHaveWritten = work.kind == StatementKind::Write || session.transactionWrote;
     if (work.kind == StatementKind::Commit) {
         session.phase = SessionPhase::Idle;
-        // Without a write there was nothing to keep, whatever became of the commit.
+        // The transaction wrote nothing, so the outcome of the commit does not matter.
         if (!mayHaveWritten)
             return this->answer(session, failureReply(StatementError::Aborted, reason));
         ++this->counters.inDoubt;
@@ -120,7 +120,7 @@
         return this->answer(
             session, failureReply(StatementError::InDoubt, "the write may have taken effect"));
     }
-    // A read leaves nothing behind and may run again.
+    // A read has no side effects and can be run again.
     if (this->now < work.deadline && work.attempts < this->options.settings.attempts)
         return this->retry(session, UpstreamName {}, Duration {}, StatementError::Busy);
     this->refuse(
@@ -132,8 +132,8 @@
 {
     auto& work = *session.work;
     work.connection.reset();
-    // An upstream without a free connection has not looked at the statement; the work waits on like work that
-    // this VM has no connection for.
+    // An upstream that had no connection left has not seen the statement. That is no failed attempt; the
+    // statement waits as if this VM had no connection for it.
     if (reason != StatementError::TooManyConnections)
         ++work.attempts;
     ++this->counters.retried;
@@ -144,7 +144,7 @@
             { { "id", work.query.id }, { "upstream", skipped.string() },
                 { "error", std::to_string(static_cast<int>(reason)) } });
         this->refuse(session, StatementError::Busy,
-            adviceText("no upstream could run it", this->options.settings.overloadRetryAfter));
+            adviceText("no upstream could run the statement", this->options.settings.overloadRetryAfter));
         return;
     }
     this->dispatch(session);
@@ -161,13 +161,12 @@
     }
     connection.sentAt = this->now;
     connection.answerBy = this->now + this->options.settings.setupTimeout;
-    // All that sets the connection up goes out together; what follows waits for its success.
+    // All setup steps are sent at once; the statements after them wait for their success.
     while (!connection.steps.empty() && connection.steps.front().kind == StepKind::Setup)
         this->sendStep(connection);
     auto* session = connection.user ? this->findCaller(*connection.user) : nullptr;
-    // The opening of a transaction changes nothing, so it need not wait for the set-up to succeed; that
-    // spares each transaction a round trip. If the set-up fails the connection is closed, and the transaction
-    // with it.
+    // Opening a transaction changes nothing, so it is sent without waiting for the setup, which saves a round
+    // trip per transaction. If the setup fails, the connection is closed and the transaction with it.
     const bool opens = !connection.steps.empty() && connection.steps.front().kind == StepKind::Open;
     const bool mayJoin = opens && session != nullptr && this->mayStillSend(connection, *session);
     if (!connection.sent.empty() && !mayJoin)
@@ -189,7 +188,7 @@
 
 bool SessionEngine::State::readyToSend(PooledConnection& connection, CallerSession& session)
 {
-    // Opening the connection and setting it up took time, in which the view of the primary may have ended.
+    // The view of the primary may have expired while the connection was opened and set up.
     if (!this->mayStillSend(connection, session)) {
         if (session.pinned)
             this->dropTransaction(session, "the primary no longer leads");
@@ -233,8 +232,9 @@
 bool SessionEngine::State::mayStillSend(const PooledConnection& connection, const CallerSession& session)
 {
     const auto& group = this->group(connection.service);
-    // Inside an open transaction the upstream itself refuses what its lost lead forbids, and a read sees what
-    // the transaction saw when it was opened. A newer primary may have led then already.
+    // Within an open transaction, an upstream that is no longer the primary refuses writes by itself, and a
+    // read sees the state as of the start of the transaction. A newer primary may already have led at that
+    // time.
     if (session.pinned && session.work->kind == StatementKind::Read)
         return !connection.viewTerm || *connection.viewTerm >= group.newestTerm;
     if (session.pinned)
@@ -258,7 +258,7 @@
     this->recordAnswer(*connection, reply);
     const auto kind = connection->sent.front();
     if (kind == StepKind::Setup && reply.failure) {
-        // What is in place on the connection is not known any more; a statement must not run there.
+        // The state of the connection is unknown now, so no statement may run on it.
         this->log("setup_failed",
             { { "upstream", connection->upstream.string() }, { "reason", reply.failure->text } });
         connection->sent.assign(1, StepKind::Setup);
@@ -316,7 +316,7 @@
         session->work->opensTransaction = false;
     }
     this->sendNext(connection);
-    // Nothing has run in the transaction, which may be opened anew elsewhere.
+    // No statement has run in the transaction yet, so it can be opened again elsewhere.
     if (session != nullptr && laterTerm)
         this->retry(*session, UpstreamName {}, Duration {}, StatementError::Busy);
 }
@@ -389,7 +389,8 @@
         upstream.laggingUntil = Instant::min();
     }
     this->recordTerm(group, this->sourceOf(connection), reply.progress->term);
-    // The position speaks for the time at which the statement went out, if the view held then.
+    // The position applies to the time at which the statement was sent, provided that the view was valid
+    // then.
     if (group.isLedBy(connection.upstream, connection.sentAt) && reply.progress->term == group.view.term)
         group.history.record({ .progress = *reply.progress, .seenAt = connection.sentAt });
 }
--- a/src/pooling/engine_contradictions.cpp
+++ b/src/pooling/engine_contradictions.cpp
@@ -10,8 +10,8 @@
         group.contradictedAt = this->now;
     if (group.view.phase == LeaderView::Phase::Settled && term > group.view.term)
         this->logContradiction(group, source, term, "later term");
-    // No newer primary leads while a view holds as it should. This one did not, and the former primary may
-    // have told positions since that lack commits of the next one.
+    // No newer primary can lead while a view is valid, unless the guarantee was broken. In that case the
+    // former primary may since have reported positions that lack commits of the newer one.
     if (group.view.isValid(this->now) && term > group.view.term)
         group.history.clear();
     group.newestTerm = std::max(group.newestTerm, term);
@@ -21,8 +21,8 @@
 {
     auto& group = this->group(connection.service);
     const auto& view = group.view;
-    // A refusal speaks of the view under which the refused statement was sent. Its upstream may have been
-    // promoted since, and the present view be right.
+    // A refusal applies to the view under which the statement was sent. The upstream may have been promoted
+    // since, and the current view may be right.
     if (view.phase != LeaderView::Phase::Settled || view.primary != connection.upstream
         || connection.viewTerm != view.term)
         return;
--- a/src/pooling/engine_dispatch.cpp
+++ b/src/pooling/engine_dispatch.cpp
@@ -8,17 +8,18 @@
 
 namespace {
 
-// Costs of serving a read at an upstream, in statements that this VM already has there. Opening a connection
-// takes about half of a short statement's time at the upstream and a round trip more.
+// Costs of running a read at an upstream, in units of one statement that this VM already runs there. Opening
+// a connection takes about half the upstream's time for a short statement, plus a round trip.
 constexpr double connectionOpeningCost = 0.6;
-// The primary alone can take writes, so reads go elsewhere while the difference is small.
+// Only the primary can run writes, so reads prefer replicas while the load differs little.
 constexpr double primaryReadCost = 0.8;
-// Another availability zone adds a round trip of 2 ms, small against a statement's 10 to 40 ms.
+// Another availability zone adds a round trip of 2 ms, little against the 10 to 40 ms of a statement.
 constexpr double crossZoneCost = 0.1;
-// A refusal by a replica that is behind costs a round trip and a place at the next upstream.
+// A refusal by a lagging replica costs a round trip, and the statement has to queue again at the next
+// upstream.
 constexpr double laggingReplicaCost = 0.6;
 
-// One connection stays free for asking after the upstream's status.
+// One connection is reserved for status queries.
 std::size_t usableConnections(std::uint32_t connectionCap)
 {
     return connectionCap > 1 ? connectionCap - 1 : connectionCap;
@@ -40,8 +41,8 @@
 
 bool SessionEngine::State::isLeaderless(const GroupState& group, const CallerSession& session) const
 {
-    // A replica can only be named a position to read at when one was seen while the primary was known to
-    // lead. After a restart there is none, and reads depend on the primary as writes do.
+    // A read on a replica needs a position that was observed under a valid view of the primary. After a
+    // restart there is none, and reads depend on the primary just as writes do.
     return !group.hasLeader(this->now) && !this->replicaRequirement(group, session);
 }
 
@@ -56,7 +57,7 @@
             return one->route.priority < other->route.priority;
         return one->work->arrivedAt < other->work->arrivedAt;
     });
-    // Serving may end sessions and make new work wait, so each pass goes over a copy.
+    // Serving a statement may end sessions and add new waiting ones, so this iterates over a copy.
     const auto waiting = group.waiting;
     for (const auto id : waiting) {
         auto* session = this->findCaller(id);
@@ -132,8 +133,8 @@
         return true;
     if (!requirement)
         return false;
-    // A replica that is not believed to have caught up is asked now and then all the same: nothing else would
-    // show that it has.
+    // A replica that seems to lag is still asked from time to time, as only its answer can show that it has
+    // caught up.
     return this->hasCaughtUp(upstream, *requirement) || this->now >= upstream.laggingUntil;
 }
 
@@ -170,8 +171,8 @@
     const bool ownWrites = std::holds_alternative<ReadOwnWritesRoute>(session.route.freshness);
     if (!ownWrites || !session.requiredProgress || session.requiredProgressService != session.route.service)
         return requirement;
-    // A write of an earlier term is either in the log of every upstream of the newer term or was dropped by
-    // the promotion, so the position of the newer term stands for it.
+    // A write of an earlier term is either in the log of every upstream of the newer term or was lost in the
+    // promotion. The position in the newer term therefore covers it.
     if (session.requiredProgress->term < requirement.progress.term
         || *session.requiredProgress <= requirement.progress)
         return requirement;
@@ -186,7 +187,7 @@
         cost += crossZoneCost;
     if (!session.work->needsPrimary && group.view.primary == upstream.entry.name)
         cost += primaryReadCost;
-    // A replica that is behind as far as known is asked last: it would only say so.
+    // A replica that is known to lag is asked last, as it would only refuse.
     if (requirement && group.view.primary != upstream.entry.name
         && !this->hasCaughtUp(upstream, *requirement))
         cost += laggingReplicaCost;
@@ -236,7 +237,7 @@
     if (this->place.vms == 0)
         return 1;
     const auto vms = this->place.vms;
-    // What does not divide evenly goes to other VMs at each upstream.
+    // The remainder of the division goes to different VMs at each upstream.
     const auto turn = std::hash<std::string_view> {}(upstream.entry.name.view());
     const bool extra = (this->place.rank + turn) % vms < usableConnections(cap) % vms;
     return std::max<std::size_t>(this->evenShareOf(cap) + (extra ? 1 : 0), 1);
@@ -249,9 +250,9 @@
 
 std::size_t SessionEngine::State::connectionsKeptAt(const UpstreamState& upstream) const
 {
-    // When all VMs lose power, an upstream takes what they had open for taken for seconds more. The half that
-    // stays free in quiet times is what the restarted VMs serve their callers on meanwhile; without it they
-    // are refused for want of connections.
+    // When all VMs lose power, an upstream counts their open connections as taken for some more seconds. The
+    // half that is kept free in quiet times serves the callers of the restarted VMs meanwhile; without it
+    // they would be refused for lack of connections.
     return std::max<std::size_t>(this->connectionShareOf(upstream) / 2, 1);
 }
 
--- a/src/pooling/engine_forwarding.cpp
+++ b/src/pooling/engine_forwarding.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-// Numbers of guests have the highest bit set, numbers of a VM's own callers count up from one.
+// Ids of remote sessions have the highest bit set; ids of a VM's own callers count up from one.
 constexpr std::uint64_t remoteSessionBit = std::uint64_t { 1 } << 63U;
 
-// Another home is tried when the first one is out of reach; after that the work runs here, over the one
-// connection that every VM may open.
+// A second owner is tried when the first one cannot be reached. After that the statement runs on this VM,
+// over the one connection that every VM may open.
 constexpr std::size_t maxOwnersTried = 2;
 
 } // namespace
@@ -19,7 +19,7 @@
 void SessionEngine::State::dispatch(CallerSession& session)
 {
     if (session.owner && this->ownerHealth.isUnreachable(*session.owner))
-        return this->dropTransaction(session, "the home of the transaction cannot be reached");
+        return this->dropTransaction(session, "the transaction's owner VM cannot be reached");
     if (session.owner)
         return this->forwardTo(session, *session.owner);
     if (const auto owner = this->selectOwner(session))
@@ -35,8 +35,8 @@
 
 ServiceOwners* SessionEngine::State::ownersFor(std::uint32_t connectionCap) const
 {
-    // A hop to a home costs time and bytes between availability zones, and a home that dies takes along what
-    // all VMs had there. Both are paid only where this VM could not serve its callers by itself.
+    // Forwarding costs time and traffic between availability zones, and an owner that dies loses the
+    // transactions of all VMs. Both are only worth it where this VM cannot serve its callers by itself.
     const bool alone = this->evenShareOf(connectionCap) >= this->options.settings.minShareWithoutOwners;
     return alone ? nullptr : this->place.owners.get();
 }
@@ -99,7 +99,7 @@
     const auto owner = session != nullptr && session->work ? session->work->forwardedTo : std::nullopt;
     if (!owner)
         return;
-    // What a home answers to work that was given up is no answer to the work that followed.
+    // A late answer to an abandoned statement must not be taken for the answer to the statement after it.
     if (remoteSession != session->sessionAtOwner)
         return;
     this->ownerHealth.answered(*owner, this->now);
@@ -114,7 +114,7 @@
         session->tokenSpent = false;
         this->logFailure(*session, UpstreamName { owner->string() }, *reply.failure);
         if (inTransaction) {
-            // The home has dropped the transaction with the statement that failed.
+            // The owner has rolled back the transaction along with the failed statement.
             session->owner.reset();
             session->phase = phaseAfterFailure(kind);
         }
@@ -185,10 +185,10 @@
             session->owner.reset();
         else if (session->phase == SessionPhase::InTransaction)
             session->owner = owner;
-        return this->handleLostAnswer(*session, StepKind::Main, "the home's answer was lost");
+        return this->handleLostAnswer(*session, StepKind::Main, "the owner VM's answer was lost");
     }
     if (session->owner)
-        return this->dropTransaction(*session, "the home of the transaction cannot be reached");
+        return this->dropTransaction(*session, "the transaction's owner VM cannot be reached");
     this->dispatch(*session);
 }
 
@@ -208,7 +208,8 @@
     const auto* known = this->findCaller(work.remoteSession);
     const bool open = known != nullptr && known->phase == SessionPhase::InTransaction && !known->work;
     if (work.continuesTransaction != open) {
-        auto gone = failureReply(StatementError::Aborted, "the transaction is gone");
+        auto gone
+            = failureReply(StatementError::Aborted, "the transaction is no longer open on the owner VM");
         this->actions.emplace_back(
             AnswerRemoteSession { .remoteSession = work.remoteSession, .reply = std::move(gone) });
         return;
@@ -226,7 +227,7 @@
     session.requiredProgress.reset();
     if (work.requiredProgress) {
         recordOwnWrite(session, *work.requiredProgress, this->now - work.requiredProgressAge);
-        // Where it was written, a primary of that term leads.
+        // The write was committed in this term, so a primary of it leads or has led.
         this->recordTerm(this->group(session.route.service),
             { .source = "a sibling", .statementId = work.query.id }, work.requiredProgress->term);
     }
@@ -244,7 +245,7 @@
     reply.phase = session.phase;
     this->actions.emplace_back(
         AnswerRemoteSession { .remoteSession = session.id, .reply = std::move(reply) });
-    // Only an open transaction binds the sibling's next statement to this VM.
+    // Only within an open transaction does the sibling's next statement have to come to this VM.
     if (session.phase != SessionPhase::InTransaction)
         this->removeSession(session.id);
 }
--- a/src/pooling/engine_state.h
+++ b/src/pooling/engine_state.h
@@ -18,18 +18,18 @@
 
 namespace cyclamendrift {
 
-/// A team's limit at this VM.
+/// A team's share of its limit at this VM.
 struct Budget {
     TeamShare share;
-    /// Sessions whose operation waits to be let in.
+    /// Sessions whose operation waits for a token.
     std::deque<CallerId> waiting;
     bool requestingTokens = false;
     Instant nextTokenRequestAt = Instant::min();
 };
 
-/// Whose answer told a term.
+/// The answer from which a term was learned.
 struct TermSource {
-    /// An upstream, or a sibling that passes on what one has told.
+    /// Name of the upstream, or of the sibling that reported the upstream's answer.
     std::string_view source;
     std::string_view statementId;
 };
@@ -38,14 +38,15 @@
 struct RunPlace {
     UpstreamName upstream;
     Instant sentAt;
-    /// The term of the view under which it was sent, or its transaction was opened.
+    /// The term of the view under which the statement was sent or its transaction was opened.
     std::optional<Term> viewTerm;
 };
 
-/// Everything that a SessionEngine holds. Sources: engine_callers (statements of callers), engine_dispatch
-/// (which upstream gets which work), engine_homes (work handed to a home, and work for siblings),
-/// engine_connections (connections, sending and losses), engine_contradictions (what answers show against the
-/// view of the primary), engine_answers (what upstreams answered), session_engine (knowledge and time).
+/// State of a SessionEngine. Its functions are defined in engine_callers (statements of callers),
+/// engine_dispatch (selection of upstreams), engine_forwarding (statements forwarded to owner VMs, and
+/// statements of siblings), engine_connections (connections, sending and connection losses),
+/// engine_contradictions (answers that contradict the view of the primary), engine_answers (answers of
+/// upstreams) and session_engine (configuration, views and timers).
 class SessionEngine::State {
 public:
     explicit State(Options options)
@@ -66,13 +67,13 @@
     void answer(CallerSession& session, Reply reply);
     void refuse(CallerSession& session, StatementError error, std::string text);
     void closeSession(CallerId id, std::optional<StatementFailure> failure);
-    /// Puts back what the operation under way took out of its team's limit, when no upstream has run it.
+    /// Refunds the current operation's token to its team's limit, unless an upstream has run part of it.
     void refundToken(CallerSession& session);
-    /// Remembers what the session has written, and that the primary had come so far at that time.
+    /// Records the progress of the session's write, which the primary had reached at that time.
     static void recordOwnWrite(CallerSession& session, const Progress& progress, Instant at);
-    /// Lets waiting operations in as far as the budget goes, and asks siblings for what is missing.
+    /// Admits waiting operations while tokens last, and requests missing tokens from siblings.
     void admitWaiting(const TeamName& team, Budget& budget);
-    /// Closes the session when it is idle and this VM is stopping; true when it did.
+    /// Closes the session if it is idle and this VM is shutting down; returns true when it did.
     bool closeIfDraining(CallerSession& session);
 
     // engine_dispatch
@@ -82,14 +83,14 @@
     void serveSameTeam(PooledConnection& connection);
     void refuseOverdueStatements(GroupState& group);
 
-    // engine_homes
+    // engine_forwarding
     void forwardedStatementReceived(ForwardedStatement work);
     void forwardedStatementAnswered(CallerId caller, CallerId remoteSession, Reply reply);
     void forwardingFailed(CallerId caller, CallerId remoteSession, ForwardFailure failure);
     void ownerLivenessChecked(const VmName& owner, bool alive);
-    /// Asks homes for a sign of life that have not answered for a while.
+    /// Starts liveness checks of owner VMs that have not answered for a while.
     void checkSilentOwners();
-    /// Ends a guest whose transaction is gone; a later statement of it is told so.
+    /// Ends a remote session whose transaction is lost; its next statement is refused.
     void endRemoteSession(CallerSession& session, const char* reason);
 
     // engine_connections
@@ -102,7 +103,7 @@
     void abortTransaction(CallerSession& session, const char* reason);
 
     // engine_answers
-    /// Gives an answer that was held back to its caller, once it is known whether it stands.
+    /// Sends or fails a withheld reply once it is known whether its commit is confirmed.
     void resolveUnconfirmed(CallerSession& session);
 
     [[nodiscard]] CallerSession* findCaller(CallerId id);
@@ -121,13 +122,13 @@
     std::map<TeamName, Budget> budgets;
     std::map<TeamName, std::uint64_t> demand;
     FleetPlace place;
-    /// Homes that did not answer.
+    /// Owner VMs that did not answer.
     PassedOver<VmName> skippedOwners;
     OwnerHealth ownerHealth;
     std::mt19937_64 remoteSessionNumbers;
     EngineCounters counters;
     std::uint64_t lastConnection = 0;
-    /// Instant::max() while no stop is under way.
+    /// Instant::max() unless this VM is shutting down.
     Instant closeIdleFrom = Instant::max();
     Instant abortAt = Instant::max();
     std::vector<EngineAction> actions;
@@ -139,9 +140,9 @@
     void startOperation(CallerSession& session, CallerQuery query);
     [[nodiscard]] bool checkPermission(CallerSession& session);
     void queueForToken(CallerSession& session, Budget& budget, CallerQuery query);
-    /// Where an operation of that priority comes in among those that wait for their team's limit.
+    /// Where an operation of that priority is inserted among those that wait for the team's limit.
     [[nodiscard]] std::deque<CallerId>::iterator queuePosition(Budget& budget, std::uint32_t priority);
-    /// Refuses what has waited for its team's limit as long as it may.
+    /// Refuses operations that have waited for a token for the maximum time.
     void refuseOverdueOperations(Budget& budget);
     void runOperation(CallerSession& session, CallerQuery query);
     void begin(CallerSession& session, const BeginTransaction& wanted);
@@ -149,27 +150,26 @@
     void runOnUpstream(CallerSession& session, CallerQuery query, StatementKind kind);
     void endTransaction(CallerSession& session);
 
-    // engine_homes
-    /// Has the session's work run where the connections of its service are.
+    // engine_forwarding
+    /// Runs the session's statement on this VM, or forwards it to an owner VM of its service.
     void dispatch(CallerSession& session);
     [[nodiscard]] std::optional<VmName> selectOwner(const CallerSession& session) const;
     void forwardTo(CallerSession& session, const VmName& owner);
     void releaseRemoteSession(CallerSession& session);
     void finishForwardedInTransaction(CallerSession& session);
     void answerRemoteSession(CallerSession& session, Reply reply);
-    /// The homes of services whose upstreams bear so many connections each; null where every VM serves its
-    /// callers by itself.
+    /// The owners of services with that connection cap; null where every VM serves its callers by itself.
     [[nodiscard]] ServiceOwners* ownersFor(std::uint32_t connectionCap) const;
     [[nodiscard]] std::uint32_t connectionCapOf(const ServiceName& service) const;
 
     // engine_dispatch
     void assignUpstream(GroupState& group, CallerSession& session);
-    /// True when no upstream may run the session's work before a primary is known to lead.
+    /// True when no upstream may run the session's statement before a valid view of the primary is available.
     [[nodiscard]] bool isLeaderless(const GroupState& group, const CallerSession& session) const;
-    /// `needed` is what replicaRequirement() says of the session.
+    /// `requirement` is the result of replicaRequirement() for the session.
     [[nodiscard]] bool canServe(const GroupState& group, const UpstreamState& upstream,
         const CallerSession& session, const std::optional<ReplicaRequirement>& requirement) const;
-    /// What a replica must have to serve the session's work; empty when no replica may serve it.
+    /// What a replica must have reached to run the session's statement; empty when no replica may run it.
     [[nodiscard]] std::optional<ReplicaRequirement> replicaRequirement(
         const GroupState& group, const CallerSession& session) const;
     [[nodiscard]] std::size_t runningAt(const UpstreamState& upstream) const;
@@ -179,13 +179,13 @@
         const CallerSession& session, const std::optional<ReplicaRequirement>& requirement) const;
     [[nodiscard]] PooledConnection* idleConnection(UpstreamState& upstream, const TeamName& team);
     [[nodiscard]] PooledConnection* longestIdleConnection(const UpstreamState& upstream);
-    /// What every VM may hold of the connections that an upstream bears, were they divided evenly.
+    /// Each VM's share of an upstream's connections if they were divided evenly among all VMs.
     [[nodiscard]] std::size_t evenShareOf(std::uint32_t connectionCap) const;
-    /// This VM's share of an upstream's connections, with what it may borrow of other VMs'.
+    /// This VM's share of an upstream's connections, including what it may borrow from other VMs.
     [[nodiscard]] std::size_t maxConnectionsAt(const UpstreamState& upstream) const;
-    /// Connections beyond which an idle one is closed for each that is opened.
+    /// From this number of connections on, an idle one is closed for each one that is opened.
     [[nodiscard]] std::size_t connectionsKeptAt(const UpstreamState& upstream) const;
-    /// True when a connection may be opened, if need be in the place of an idle one.
+    /// True when a connection can be opened, possibly in place of an idle one.
     [[nodiscard]] bool canOpenConnection(const UpstreamState& upstream);
     void openConnectionFor(GroupState& group, UpstreamState& upstream, CallerSession& session);
     void runOn(PooledConnection& connection, CallerSession& session);
@@ -207,9 +207,9 @@
     void recordNotRun(PooledConnection& connection, StatementError error);
 
     // engine_contradictions
-    /// Takes in that some upstream of the group has come to that term.
+    /// Records that an upstream of the group has reached this term.
     void recordTerm(GroupState& group, const TermSource& source, Term term);
-    /// Takes in that an upstream refused what only a primary may do.
+    /// Records that an upstream refused a statement that only a primary may run.
     void recordLeadRefusal(const PooledConnection& connection);
     [[nodiscard]] TermSource sourceOf(const PooledConnection& connection);
     void logContradiction(
@@ -223,7 +223,7 @@
     void failTransaction(
         PooledConnection& connection, CallerSession& session, StatementFailure failure, SessionPhase phase);
     void finishStatement(CallerSession& session, Reply reply, const RunPlace& place, bool commitsWrite);
-    /// True while a view may come that shows that the commit stands.
+    /// True while a later view may still confirm the commit.
     [[nodiscard]] bool canBeConfirmed(const GroupState& group, const UnconfirmedReply& unconfirmed) const;
     void logIfLate(const CallerSession& session, const RunPlace& place);
     void logFailure(
@@ -231,16 +231,17 @@
     void handleLostAnswer(CallerSession& session, StepKind step, const char* reason);
 };
 
-/// A reply with a failure alone.
+/// A reply that consists of a failure only.
 [[nodiscard]] Reply failureReply(StatementError error, std::string text);
 
-/// How a session goes on after work of that kind failed inside its transaction: a commit ends it either way.
+/// State of a session after a statement of this kind failed in its transaction. A commit ends the transaction
+/// in any case.
 [[nodiscard]] SessionPhase phaseAfterFailure(StatementKind kind) noexcept;
 
-/// Whole milliseconds, as the log has them.
+/// The duration in whole milliseconds, for log lines.
 [[nodiscard]] std::string millisecondsText(Duration duration);
 
-/// "retry after 100 ms", as the text of a refusal.
+/// The text of a refusal: the reason followed by "retry after 100 ms".
 [[nodiscard]] std::string adviceText(std::string_view reason, Duration retryAfter);
 
 } // namespace cyclamendrift
--- a/src/pooling/owner_health.cpp
+++ b/src/pooling/owner_health.cpp
@@ -6,11 +6,13 @@
 
 namespace {
 
-// Most statements take less; those that take longer cost a question of some hundred bytes.
+// Time without an answer after which an owner is checked. Most statements take less; a check for one that
+// takes longer costs a request of some hundred bytes.
 constexpr Duration answerWait = std::chrono::milliseconds { 150 };
-// Between two questions to a home out of reach.
+// Interval between two checks of an unreachable owner.
 constexpr Duration recheckInterval = std::chrono::milliseconds { 300 };
-// A home that has been out of reach for so long has left, or will be found in reach by the next statement.
+// An owner that has been unreachable for this long has left the fleet; otherwise the next statement will
+// detect it again.
 constexpr Duration maxUnreachableTime = std::chrono::seconds { 20 };
 
 } // namespace
--- a/src/pooling/pooled_connection.h
+++ b/src/pooling/pooled_connection.h
@@ -18,15 +18,15 @@
 
 namespace cyclamendrift {
 
-/// What a statement on a connection is for.
+/// Purpose of a statement on a connection.
 enum class StepKind : std::uint8_t {
-    /// Puts the session's values and names in place.
+    /// Sets up the session's variables and prepared statements.
     Setup,
     /// Opens the session's transaction.
     Open,
     /// The caller's own statement.
     Main,
-    /// Drops a transaction that nobody waits for.
+    /// Rolls back a transaction that is no longer used.
     Drop,
 };
 
@@ -44,7 +44,7 @@
     ServiceName service;
     TeamName team;
     Phase phase = Phase::Opening;
-    /// The session that it works for or whose transaction it holds; empty when that caller is gone.
+    /// The session that it serves or whose transaction it holds; empty when that session has ended.
     std::optional<CallerId> user;
     ConnectionState state;
     std::deque<Step> steps;
@@ -52,27 +52,27 @@
     bool inTransaction = false;
     Instant sentAt;
     Instant idleSince;
-    /// The answer to what was sent last is due by then.
+    /// Deadline for the answer to what was sent last.
     Instant answerBy;
-    /// The term of the view on which the statement that was sent last, or the open transaction, relies for
-    /// its freshness; empty when a position was named.
+    /// The term of the view on which the last statement or the open transaction relies for its freshness;
+    /// empty when the statement names a position instead.
     std::optional<Term> viewTerm;
 
-    /// True when the answer comes from a later term than the view on which its freshness rests: the upstream
-    /// may follow the next primary by then and lack commits of it.
+    /// True when the answer comes from a later term than the view on which its freshness relies. The upstream
+    /// may then already follow the next primary and lack some of its commits.
     [[nodiscard]] bool isFromLaterTerm(const Reply& reply) const noexcept
     {
         return !reply.failure && this->viewTerm && reply.progress && reply.progress->term > *this->viewTerm;
     }
 };
 
-/// One upstream with what this VM has seen of it.
+/// An upstream with what this VM has observed of it.
 struct UpstreamState {
     UpstreamEntry entry;
-    /// False once it has left the directory; its open transactions may still end.
+    /// False once it has left the directory; its open transactions may still be finished.
     bool listed = true;
     std::vector<ConnectionId> connections;
-    /// Statements that it works on for this VM.
+    /// Connections that are being opened, run a statement or hold a transaction.
     int connectionsInUse = 0;
     Instant unreachableUntil = Instant::min();
     int failures = 0;
@@ -83,24 +83,24 @@
     Instant lastAnswer = Instant::min();
     std::optional<Instant> failingSince;
     ConcurrencyLimit limit;
-    /// How far its log was when it last told.
+    /// Latest reported progress of its log.
     Progress knownProgress;
-    /// How far it was behind the primary then.
+    /// How far it lagged behind the primary at that time.
     Duration lag {};
 };
 
-/// A position that a read needs, and when the primary had come to it.
+/// A position that a read needs, and when the primary had reached it.
 struct ReplicaRequirement {
     Progress progress;
     Instant at;
 };
 
-/// What answers have shown against a view counts for so long. The duty's holder needs some three seconds to
-/// find and record a newer primary; if it finds none by then, a group is not kept from the primary on record
-/// for ever.
+/// Time for which an answer that contradicts the view counts. The coordinator needs about three seconds to
+/// find and record a newer primary. If it finds none by then, the group uses the recorded primary again
+/// instead of being blocked forever.
 inline constexpr Duration contradictionLifetime = std::chrono::seconds { 5 };
 
-/// An upstream that refused to act as the primary of a term.
+/// An upstream that refused to act as the primary in a term.
 struct LeadRefusal {
     UpstreamName upstream;
     Term term {};
@@ -112,16 +112,16 @@
     LeaderView view;
     ProgressHistory history;
     std::map<UpstreamName, UpstreamState> upstreams;
-    /// Sessions whose work waits for a connection.
+    /// Sessions whose statement waits for a connection.
     std::vector<CallerId> waiting;
-    /// The newest term of any position that was told.
+    /// Highest term in any reported position.
     Term newestTerm {};
     std::optional<LeadRefusal> leadRefusal;
-    /// When an answer has contradicted the view last.
+    /// When an answer last contradicted the view.
     Instant contradictedAt = Instant::min();
 
-    /// True when answers have shown lately that a newer primary leads than the view's. A renewal changes
-    /// nothing of that; a view of another primary or of a later term does.
+    /// True when recent answers have shown that the view's primary has been replaced. Renewing the view does
+    /// not clear this; a view of another primary or of a later term does.
     [[nodiscard]] bool isContradicted(Instant now) const noexcept
     {
         if (now >= this->contradictedAt + contradictionLifetime)
@@ -132,13 +132,13 @@
             && (refused || this->newestTerm > this->view.term);
     }
 
-    /// True when the view may be acted on.
+    /// True when the view may be used.
     [[nodiscard]] bool hasLeader(Instant now) const noexcept
     {
         return this->view.isValid(now) && !this->isContradicted(now);
     }
 
-    /// True when the view may be acted on and names this upstream.
+    /// True when the view may be used and names this upstream as the primary.
     [[nodiscard]] bool isLedBy(const UpstreamName& upstream, Instant now) const noexcept
     {
         return this->hasLeader(now) && this->view.primary == upstream;
--- a/src/pooling/progress_history.cpp
+++ b/src/pooling/progress_history.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Routes allow staleness of a few seconds; older observations are of no use to any.
+// Routes allow a staleness of a few seconds, so no read uses older observations.
 constexpr Duration maxObservationAge = std::chrono::seconds { 10 };
-// Observations closer together than this change little in what a replica must have.
+// Observations at shorter intervals make little difference to what a replica must have reached.
 constexpr Duration minObservationInterval = std::chrono::milliseconds { 20 };
 
 } // namespace
--- a/src/pooling/service_owners.cpp
+++ b/src/pooling/service_owners.cpp
@@ -12,16 +12,17 @@
 
 namespace {
 
-// A dozen connections hold one open for most teams of a home and leave some for transactions; with fewer
-// homes each death of one hurts more callers, with more of them connections run out again.
+// Twelve connections let an owner keep one open for most of its teams and leave some for transactions. With
+// fewer owners, the failure of one affects more callers; with more owners, connections run short again.
 constexpr std::uint32_t connectionsPerOwner = 12;
 constexpr std::uint32_t minOwners = 3;
 constexpr std::uint32_t maxOwners = 8;
-// One in eight connections is left to VMs that reach no home and to questions about the status.
+// One in eight connections is reserved for VMs that cannot reach any owner and for status queries.
 constexpr std::uint32_t reservedDivisor = 8;
 
-// Homes are chosen among the strongest VMs that have this part of all processors, and at least so many of
-// them: the work of a home is about that of the VM that hands it on, and VMs are bought for bursts.
+// Owners are selected among the strongest VMs that together have this fraction of all cores, and among at
+// least minCandidates of them. A forwarded statement costs an owner about as much as the VM that forwards it,
+// and VMs need spare capacity for bursts.
 constexpr double candidateCoreFraction = 0.25;
 constexpr std::size_t minCandidates = std::size_t { 2 } * maxOwners;
 
@@ -41,7 +42,7 @@
     return selected;
 }
 
-/// Rendezvous weight in proportion to a VM's strength: one with four times the processor is chosen four times
+/// Rendezvous weight in proportion to a VM's strength: a VM with four times the cores is selected four times
 /// as often.
 double weightOf(const VmName& vm, const VmStrength& strength, const std::string& subject)
 {
--- a/src/pooling/session_engine.cpp
+++ b/src/pooling/session_engine.cpp
@@ -158,7 +158,7 @@
     engine.now = now;
     auto& group = engine.group(service);
     const bool changed = view.primary != group.view.primary || view.term != group.view.term;
-    // Positions that were seen under another primary say nothing of this one's log.
+    // Positions that were observed under another primary do not apply to the log of this one.
     if (changed)
         group.history.clear();
     group.view = view;
@@ -253,7 +253,8 @@
     const bool idleTooLong = this->now >= session.lastActive + this->routes->maxTransactionIdleTime;
     const bool stopping = this->now >= this->abortAt;
     if (session.phase == SessionPhase::InTransaction && (idleTooLong || stopping))
-        return this->abortTransaction(session, idleTooLong ? "the caller rested too long" : "this VM stops");
+        return this->abortTransaction(
+            session, idleTooLong ? "the caller rested too long" : "this VM is shutting down");
     static_cast<void>(this->closeIfDraining(session));
 }
 
--- a/src/pooling/session_state.cpp
+++ b/src/pooling/session_state.cpp
@@ -5,8 +5,8 @@
 std::vector<SetupStep> ConnectionState::stepsToMatch(const SessionState& session, const PreparedShape* needed)
 {
     std::vector<SetupStep> steps;
-    // There is no way to unset one value, and a value left over from another session would change what this
-    // one's statements do without anybody noticing; so everything is dropped.
+    // There is no statement that unsets a single variable, and one left over from another session would
+    // silently change the effect of this session's statements. All of them are discarded.
     if (this->holdsForeignValue(session)) {
         this->values.clear();
         this->names.clear();
