--- /dev/null
+++ b/include/cyclamendrift/pooling/owner_health.h
@@ -0,0 +1,45 @@
+#pragma once
+
+#include <cyclamendrift/core/identifier.h>
+#include <cyclamendrift/core/instant.h>
+
+#include <map>
+#include <vector>
+
+namespace cyclamendrift {
+
+/// Tracks which owner VMs can be reached. A statement may take long because it is slow, or because the
+/// network to its owner is interrupted. An owner that has not answered for a while therefore gets a liveness
+/// check; one that fails the check counts as unreachable until it answers again.
+///
+///     for (const auto& owner : health.beginDueChecks(now))
+///         checkLiveness(owner);
+class OwnerHealth {
+public:
+    /// Sets the owners at which statements wait, each with the time of its oldest statement.
+    void recordWaiting(const std::map<VmName, Instant>& oldest);
+    /// Records that an owner has answered any request.
+    void answered(const VmName& owner, Instant now);
+
+    /// Starts the checks that are due and returns the owners to check.
+    [[nodiscard]] std::vector<VmName> beginDueChecks(Instant now);
+    /// Records the result of a check. Returns true when the owner has become unreachable by it.
+    [[nodiscard]] bool checkEnded(const VmName& owner, bool alive, Instant now);
+
+    [[nodiscard]] bool isUnreachable(const VmName& owner) const;
+
+private:
+    struct Owner {
+        Instant waitingSince = Instant::max();
+        Instant lastAnswerAt = Instant::min();
+        Instant nextCheckAt = Instant::min();
+        bool checking = false;
+        bool unreachable = false;
+        /// Start of the time in which it has been unreachable.
+        Instant unreachableSince = Instant::min();
+    };
+
+    std::map<VmName, Owner> owners;
+};
+
+} // namespace cyclamendrift
--- /dev/null
+++ b/include/cyclamendrift/pooling/service_owners.h
@@ -0,0 +1,66 @@
+#pragma once
+
+#include <cyclamendrift/core/identifier.h>
+#include <cyclamendrift/limits/limit_holders.h>
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <vector>
+
+namespace cyclamendrift {
+
+/// Selects the owners of a service: the VMs that hold the connections to its upstreams. A connection is bound
+/// to one team, and opening one takes an upstream as long as a short statement. Spread over 70 VMs, each VM
+/// has one connection to an upstream, which fits the team of the next caller once in twenty times, and
+/// together the VMs queue far more statements at an upstream than it can run in time. A few owners keep
+/// connections open for most teams and see enough answers to know the load that the upstream can take. A VM
+/// whose even share of the connections suffices for its callers does not use owners. Owners are selected
+/// among the strongest VMs, so that each VM keeps links to few others. Not thread-safe, as results are
+/// cached.
+///
+///     const auto& ranked = owners.rankedOwners(service, team, connectionCap);
+///     if (ranked.front() != owners.self()) forward(ranked.front(), statement);
+class ServiceOwners {
+public:
+    ServiceOwners(VmName self, const std::map<VmName, VmCapacity>& listed);
+
+    /// True when there are more VMs than a service has owners; otherwise every VM would be an owner.
+    [[nodiscard]] static bool areUseful(std::size_t vms) noexcept;
+
+    [[nodiscard]] const VmName& self() const noexcept { return this->selfName; }
+
+    /// The owners of a service whose upstreams accept `connectionCap` connections each; the same on every VM.
+    [[nodiscard]] const std::vector<VmName>& ownersOf(
+        const ServiceName& service, std::uint32_t connectionCap);
+
+    /// The owners in the order in which a team's statements are forwarded: all of them to the first one that
+    /// can be reached.
+    [[nodiscard]] const std::vector<VmName>& rankedOwners(
+        const ServiceName& service, const TeamName& team, std::uint32_t connectionCap);
+
+    /// Maximum number of connections that this VM may hold to one upstream.
+    [[nodiscard]] std::size_t connectionShareOf(const ServiceName& service, std::uint32_t connectionCap);
+
+private:
+    /// The cached selection for a service; recomputed when the connection cap changes.
+    struct Selection {
+        std::uint32_t connectionCap = 0;
+        std::vector<VmName> owners;
+        std::size_t share = 0;
+        std::map<TeamName, std::vector<VmName>> rankings;
+    };
+
+    [[nodiscard]] Selection& selectionFor(const ServiceName& service, std::uint32_t connectionCap);
+    [[nodiscard]] std::vector<VmName> selectOwners(
+        const ServiceName& service, std::uint32_t connectionCap) const;
+    [[nodiscard]] std::size_t computeShare(
+        const std::vector<VmName>& owners, std::uint32_t connectionCap) const;
+
+    VmName selfName;
+    /// The VMs among which owners are selected.
+    std::map<VmName, VmCapacity> candidates;
+    std::map<ServiceName, Selection> selections;
+};
+
+} // namespace cyclamendrift
--- a/src/leadership/leader_coordinator.cpp
+++ b/src/leadership/leader_coordinator.cpp
@@ -153,7 +153,7 @@
     // A promotion ends the pause of every replica, and a lagging replica answers as before until it learns of
     // the new term. By then every old view has expired, so only a view that is still valid may be extended.
     const bool confirms = !status.isPrimary && status.term == record->term
-        && status.pausedBelowTerm <= record->term && upstream != record->primary && this->view().holds(now);
+        && status.pausedBelowTerm <= record->term && upstream != record->primary && this->view().isValid(now);
     if (confirms)
         this->recordConfirmation(*member, askedAt, now);
     if (this->replacement && !status.isPrimary)
@@ -226,9 +226,9 @@
 
 bool LeaderCoordinator::needsLease(Instant now) const
 {
-    const bool holds = this->latestSnapshot.coordinatorLease
+    const bool isHolder = this->latestSnapshot.coordinatorLease
         && this->latestSnapshot.coordinatorLease->holder == this->options.vm;
-    return holds || this->isTurnToAcquireLease(now);
+    return isHolder || this->isTurnToAcquireLease(now);
 }
 
 bool LeaderCoordinator::isTurnToAcquireLease(Instant now) const
--- a/src/leadership/view_renewal.cpp
+++ b/src/leadership/view_renewal.cpp
@@ -43,18 +43,18 @@
     if (!this->hasSnapshot || !this->latestSnapshot.record)
         return view;
     const auto& record = this->record();
-    view.phase = record.isSettled() ? LeaderView::Phase::Led : LeaderView::Phase::Changing;
+    view.phase = record.isSettled() ? LeaderView::Phase::Settled : LeaderView::Phase::Changing;
     view.primary = record.primary;
     view.term = record.term;
     const auto viewConfirmedAt = std::max(this->latestSnapshot.askedAt, this->replicasConfirmedAt);
     if (viewConfirmedAt > this->viewDisprovedAt)
-        view.validUntil = viewConfirmedAt + this->options.settings.viewLifetime;
+        view.expiresAt = viewConfirmedAt + this->options.settings.viewLifetime;
     return view;
 }
 
 std::optional<Instant> LeaderCoordinator::viewConfirmedAt(Instant now) const
 {
-    if (!this->view().holds(now))
+    if (!this->view().isValid(now))
         return std::nullopt;
     return std::max(this->latestSnapshot.askedAt, this->replicasConfirmedAt);
 }
@@ -126,7 +126,7 @@
 {
     const auto& settings = this->options.settings;
     // An expired view cannot be extended.
-    if (!this->needsReplicaConfirmation(now) || !this->view().holds(now))
+    if (!this->needsReplicaConfirmation(now) || !this->view().isValid(now))
         return;
     for (auto& member : this->members) {
         const bool due = now >= member.confirmedAt + settings.confirmationInterval;
@@ -142,14 +142,14 @@
     const bool changed = next.phase != this->publishedView.phase
         || next.primary != this->publishedView.primary || next.term != this->publishedView.term;
     const bool renewed
-        = next.validUntil > this->publishedView.validUntil && now >= this->lastPublishedAt + publishInterval;
-    const bool expired = next.validUntil < this->publishedView.validUntil && this->publishedView.holds(now);
+        = next.expiresAt > this->publishedView.expiresAt && now >= this->lastPublishedAt + publishInterval;
+    const bool expired = next.expiresAt < this->publishedView.expiresAt && this->publishedView.isValid(now);
     if (!changed && !renewed && !expired)
         return;
     if (changed)
         this->logEvent("leader_view",
             { { "primary", next.primary.string() }, { "term", textOf(next.term) },
-                { "phase", next.phase == LeaderView::Phase::Led ? "led" : "changing" },
+                { "phase", next.phase == LeaderView::Phase::Settled ? "led" : "changing" },
                 { "source", std::string { nameOf(this->viewSource(now)) } } });
     this->publishedView = next;
     this->lastPublishedAt = now;
@@ -167,18 +167,19 @@
 void LeaderCoordinator::logValidityChange(Instant now)
 {
     const auto current = this->view();
-    if (current.phase != LeaderView::Phase::Led) {
+    if (current.phase != LeaderView::Phase::Settled) {
         this->wasLoggedAsValid = false;
         return;
     }
-    const bool holds = current.holds(now);
+    const bool isValid = current.isValid(now);
     const auto source = this->viewSource(now);
     const bool sameView = current.primary == this->publishedView.primary
-        && current.term == this->publishedView.term && this->publishedView.phase == LeaderView::Phase::Led;
-    const bool expired = this->wasLoggedAsValid && !holds;
-    const bool restored = sameView && !this->wasLoggedAsValid && holds;
+        && current.term == this->publishedView.term
+        && this->publishedView.phase == LeaderView::Phase::Settled;
+    const bool expired = this->wasLoggedAsValid && !isValid;
+    const bool restored = sameView && !this->wasLoggedAsValid && isValid;
     // Whether this VM or a sibling has read the store makes no difference to how far a view can be trusted.
-    const bool sourceChanged = sameView && holds && source != this->loggedSource
+    const bool sourceChanged = sameView && isValid && source != this->loggedSource
         && (source == ViewSource::Replica || this->loggedSource == ViewSource::Replica);
     if (expired)
         ++this->counts.viewsExpired;
@@ -192,7 +193,7 @@
                 { "store_age_ms", formatAge(this->latestSnapshot.askedAt, now) },
                 { "replica_age_ms", formatAge(this->replicasConfirmedAt, now) },
                 { "sibling_age_ms", formatAge(this->siblingConfirmedAt, now) } });
-    this->wasLoggedAsValid = holds;
+    this->wasLoggedAsValid = isValid;
     this->loggedSource = source;
 }
 
--- a/src/pooling/engine_connections.cpp
+++ b/src/pooling/engine_connections.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-Duration doubled(Duration first, int times, Duration most)
+Duration exponentialBackoff(Duration first, int times, Duration maximum)
 {
-    return std::min(first * (1 << std::min(times, 10)), most);
+    return std::min(first * (1 << std::min(times, 10)), maximum);
 }
 
 } // namespace
@@ -21,14 +21,14 @@
         return;
     Reply greeting;
     greeting.progress = progress;
-    this->noteAnswer(*connection, greeting);
+    this->recordAnswer(*connection, greeting);
     auto* session = connection->user ? this->findCaller(*connection->user) : nullptr;
     if (session == nullptr) {
         this->release(*connection);
         return;
     }
     connection->phase = PooledConnection::Phase::Working;
-    this->serveOn(*connection, *session);
+    this->runOn(*connection, *session);
 }
 
 void SessionEngine::State::refusedToOpen(ConnectionId id, StatementError error)
@@ -40,14 +40,14 @@
     upstream.lastAnswer = this->now;
     upstream.failingSince.reset();
     if (error == StatementError::TooManyConnections)
-        upstream.keepToShareUntil = this->now + this->options.settings.borrowPause;
+        upstream.noBorrowingUntil = this->now + this->options.settings.borrowBackoff;
     if (error == StatementError::WrongInstance)
-        this->noteFailure(upstream);
+        this->recordConnectFailure(upstream);
     auto* session = connection->user ? this->findCaller(*connection->user) : nullptr;
     const auto name = connection->upstream;
     this->erase(id);
     if (session != nullptr)
-        this->retry(*session, name, this->options.settings.fullPause, error);
+        this->retry(*session, name, this->options.settings.connectionLimitBackoff, error);
 }
 
 void SessionEngine::State::lost(ConnectionId id)
@@ -56,10 +56,10 @@
     if (connection == nullptr)
         return;
     auto& upstream = this->upstreamOf(*connection);
-    // A connection that was open and is cut says little of its upstream: something between may have cut it,
-    // and a new one works at once. One that could not be opened says more.
+    // The loss of an established connection says little about the upstream: the network may have cut it, and
+    // a new connection may work at once. A connection that could not be opened says more.
     if (connection->phase == PooledConnection::Phase::Opening)
-        this->noteFailure(upstream);
+        this->recordConnectFailure(upstream);
     else if (connection->phase == PooledConnection::Phase::Working && !upstream.failingSince)
         upstream.failingSince = this->now;
     const auto name = connection->upstream;
@@ -81,29 +81,29 @@
     session->work->connection.reset();
     if (session->phase == SessionPhase::InTransaction && !session->work->opensTransaction
         && step != StepKind::Main) {
-        // The statement itself had not gone out, but its transaction is gone with the connection.
+        // The statement itself was not sent, but its transaction is lost with the connection.
         this->log("transaction_lost", { { "id", session->work->query.id }, { "upstream", name.string() } });
         this->dropTransaction(*session, "the transaction's connection was lost");
         return;
     }
     if (step == StepKind::Main)
-        this->loseWork(*session, step, "the connection was lost");
+        this->handleLostAnswer(*session, step, "the connection was lost");
     else
-        this->retry(*session, name, this->options.settings.downPause, StatementError::Busy);
+        this->retry(*session, name, this->options.settings.reconnectBackoff, StatementError::Busy);
 }
 
-void SessionEngine::State::loseWork(CallerSession& session, StepKind step, const char* reason)
+void SessionEngine::State::handleLostAnswer(CallerSession& session, StepKind step, const char* reason)
 {
     const auto& work = *session.work;
-    session.charged = false;
+    session.tokenSpent = false;
     this->log("answer_lost",
         { { "id", work.query.id }, { "service", session.route.service.string() }, { "reason", reason },
             { "sent", step == StepKind::Main ? "yes" : "no" } });
     const bool inTransaction = session.phase == SessionPhase::InTransaction;
-    const bool mayHaveWritten = work.kind == WorkKind::Write || session.transactionWrote;
-    if (work.kind == WorkKind::Commit) {
+    const bool mayHaveWritten = work.kind == StatementKind::Write || session.transactionWrote;
+    if (work.kind == StatementKind::Commit) {
         session.phase = SessionPhase::Idle;
-        // Without a write there was nothing to keep, whatever became of the commit.
+        // The transaction wrote nothing, so the outcome of the commit does not matter.
         if (!mayHaveWritten)
             return this->answer(session, failureReply(StatementError::Aborted, reason));
         ++this->counters.inDoubt;
@@ -111,39 +111,40 @@
             session, failureReply(StatementError::InDoubt, "the commit may have taken effect"));
     }
     if (inTransaction) {
-        this->letGuestGo(session);
+        this->releaseRemoteSession(session);
         session.phase = SessionPhase::FailedTransaction;
         return this->answer(session, failureReply(StatementError::Aborted, reason));
     }
-    if (work.kind == WorkKind::Write) {
+    if (work.kind == StatementKind::Write) {
         ++this->counters.inDoubt;
         return this->answer(
             session, failureReply(StatementError::InDoubt, "the write may have taken effect"));
     }
-    // A read leaves nothing behind and may run again.
+    // A read has no side effects and can be run again.
     if (this->now < work.deadline && work.attempts < this->options.settings.attempts)
         return this->retry(session, UpstreamName {}, Duration {}, StatementError::Busy);
-    this->refuse(session, StatementError::Busy, adviceText(reason, this->options.settings.overloadAdvice));
+    this->refuse(
+        session, StatementError::Busy, adviceText(reason, this->options.settings.overloadRetryAfter));
 }
 
 void SessionEngine::State::retry(
-    CallerSession& session, const UpstreamName& avoided, Duration pause, StatementError reason)
+    CallerSession& session, const UpstreamName& skipped, Duration pause, StatementError reason)
 {
     auto& work = *session.work;
     work.connection.reset();
-    // An upstream without a free connection has not looked at the statement; the work waits on like work that
-    // this VM has no connection for.
+    // An upstream that had no connection left has not seen the statement. That is no failed attempt; the
+    // statement waits as if this VM had no connection for it.
     if (reason != StatementError::TooManyConnections)
         ++work.attempts;
     ++this->counters.retried;
-    if (!avoided.empty())
-        work.avoided.add(avoided, this->now + pause);
+    if (!skipped.empty())
+        work.skipped.add(skipped, this->now + pause);
     if (work.attempts >= this->options.settings.attempts || this->now >= work.deadline) {
         this->log("given_up",
-            { { "id", work.query.id }, { "upstream", avoided.string() },
+            { { "id", work.query.id }, { "upstream", skipped.string() },
                 { "error", std::to_string(static_cast<int>(reason)) } });
         this->refuse(session, StatementError::Busy,
-            adviceText("no upstream could run it", this->options.settings.overloadAdvice));
+            adviceText("no upstream could run the statement", this->options.settings.overloadRetryAfter));
         return;
     }
     this->dispatch(session);
@@ -160,13 +161,12 @@
     }
     connection.sentAt = this->now;
     connection.answerBy = this->now + this->options.settings.setupTimeout;
-    // All that sets the connection up goes out together; what follows waits for its success.
+    // All setup steps are sent at once; the statements after them wait for their success.
     while (!connection.steps.empty() && connection.steps.front().kind == StepKind::Setup)
         this->sendStep(connection);
     auto* session = connection.user ? this->findCaller(*connection.user) : nullptr;
-    // The opening of a transaction changes nothing, so it need not wait for the set-up to succeed; that
-    // spares each transaction a round trip. If the set-up fails the connection is closed, and the transaction
-    // with it.
+    // Opening a transaction changes nothing, so it is sent without waiting for the setup, which saves a round
+    // trip per transaction. If the setup fails, the connection is closed and the transaction with it.
     const bool opens = !connection.steps.empty() && connection.steps.front().kind == StepKind::Open;
     const bool mayJoin = opens && session != nullptr && this->mayStillSend(connection, *session);
     if (!connection.sent.empty() && !mayJoin)
@@ -188,25 +188,26 @@
 
 bool SessionEngine::State::readyToSend(PooledConnection& connection, CallerSession& session)
 {
-    // Opening the connection and setting it up took time, in which the view of the primary may have ended.
+    // The view of the primary may have expired while the connection was opened and set up.
     if (!this->mayStillSend(connection, session)) {
         if (session.pinned)
             this->dropTransaction(session, "the primary no longer leads");
         else
-            this->takeBack(connection, session);
+            this->requeueElsewhere(connection, session);
         return false;
     }
     auto& step = connection.steps.front();
     auto& group = this->group(connection.service);
     const bool leads = group.isLedBy(connection.upstream, this->now);
     const bool covered = leads || session.pinned;
-    const auto needed = covered ? std::optional<NeededProgress> {} : this->neededProgress(group, session);
-    const auto position = needed ? std::optional { needed->progress } : std::nullopt;
+    const auto requirement
+        = covered ? std::optional<ReplicaRequirement> {} : this->replicaRequirement(group, session);
+    const auto position = requirement ? std::optional { requirement->progress } : std::nullopt;
     if (!session.pinned)
-        connection.restsOn = leads ? std::optional { group.view.term } : std::nullopt;
+        connection.viewTerm = leads ? std::optional { group.view.term } : std::nullopt;
     if (auto* open = std::get_if<OpenTransaction>(&step.statement))
         open->after = position;
-    if (auto* pass = std::get_if<PassStatement>(&step.statement))
+    if (auto* pass = std::get_if<RelayStatement>(&step.statement))
         pass->after = position;
     connection.answerBy = std::max(session.work->deadline, this->now);
     return true;
@@ -219,27 +220,28 @@
     this->answer(session, failureReply(StatementError::Aborted, reason));
 }
 
-void SessionEngine::State::takeBack(PooledConnection& connection, CallerSession& session)
+void SessionEngine::State::requeueElsewhere(PooledConnection& connection, CallerSession& session)
 {
     const auto name = connection.upstream;
     connection.steps.clear();
     connection.user.reset();
     this->release(connection);
-    this->retry(session, name, this->options.settings.busyPause, StatementError::Busy);
+    this->retry(session, name, this->options.settings.busyBackoff, StatementError::Busy);
 }
 
 bool SessionEngine::State::mayStillSend(const PooledConnection& connection, const CallerSession& session)
 {
     const auto& group = this->group(connection.service);
-    // Inside an open transaction the upstream itself refuses what its lost lead forbids, and a read sees what
-    // the transaction saw when it was opened. A newer primary may have led then already.
-    if (session.pinned && session.work->kind == WorkKind::Read)
-        return !connection.restsOn || *connection.restsOn >= group.newestTerm;
+    // Within an open transaction, an upstream that is no longer the primary refuses writes by itself, and a
+    // read sees the state as of the start of the transaction. A newer primary may already have led at that
+    // time.
+    if (session.pinned && session.work->kind == StatementKind::Read)
+        return !connection.viewTerm || *connection.viewTerm >= group.newestTerm;
     if (session.pinned)
         return group.isLedBy(connection.upstream, this->now) || session.transactionReadOnly;
     if (group.isLedBy(connection.upstream, this->now))
         return true;
-    return !session.work->needsPrimary && this->neededProgress(group, session).has_value();
+    return !session.work->needsPrimary && this->replicaRequirement(group, session).has_value();
 }
 
 void SessionEngine::State::replied(ConnectionId id, Reply reply)
@@ -253,10 +255,10 @@
         this->lost(id);
         return;
     }
-    this->noteAnswer(*connection, reply);
+    this->recordAnswer(*connection, reply);
     const auto kind = connection->sent.front();
     if (kind == StepKind::Setup && reply.failure) {
-        // What is in place on the connection is not known any more; a statement must not run there.
+        // The state of the connection is unknown now, so no statement may run on it.
         this->log("setup_failed",
             { { "upstream", connection->upstream.string() }, { "reason", reply.failure->text } });
         connection->sent.assign(1, StepKind::Setup);
@@ -289,7 +291,7 @@
 {
     auto* session = connection.user ? this->findCaller(*connection.user) : nullptr;
     if (reply.failure) {
-        this->noteNotRun(connection, reply.failure->error);
+        this->recordNotRun(connection, reply.failure->error);
         const auto name = connection.upstream;
         const auto error = reply.failure->error;
         const bool clean = reply.phase == SessionPhase::Idle;
@@ -300,43 +302,43 @@
         else
             this->close(connection);
         if (session != nullptr)
-            this->retry(*session, name, this->options.settings.busyPause, error);
+            this->retry(*session, name, this->options.settings.busyBackoff, error);
         return;
     }
     connection.inTransaction = true;
-    const bool outlived = connection.outlivedView(reply);
-    if (session == nullptr || outlived) {
+    const bool laterTerm = connection.isFromLaterTerm(reply);
+    if (session == nullptr || laterTerm) {
         connection.user.reset();
         connection.steps.assign(1, { .kind = StepKind::Drop, .statement = DropTransaction {} });
     } else {
-        session->charged = false;
+        session->tokenSpent = false;
         session->pinned = connection.id;
         session->work->opensTransaction = false;
     }
     this->sendNext(connection);
-    // Nothing has run in the transaction, which may be opened anew elsewhere.
-    if (session != nullptr && outlived)
+    // No statement has run in the transaction yet, so it can be opened again elsewhere.
+    if (session != nullptr && laterTerm)
         this->retry(*session, UpstreamName {}, Duration {}, StatementError::Busy);
 }
 
 void SessionEngine::State::release(PooledConnection& connection)
 {
     if (connection.phase != PooledConnection::Phase::Idle)
-        --this->upstreamOf(connection).working;
+        --this->upstreamOf(connection).connectionsInUse;
     connection.phase = PooledConnection::Phase::Idle;
     connection.idleSince = this->now;
     connection.user.reset();
     connection.inTransaction = false;
     auto& upstream = this->upstreamOf(connection);
-    const bool beyondShare = upstream.connections.size() > this->shareOf(upstream);
-    const bool mustShrink = beyondShare && this->now < upstream.keepToShareUntil;
+    const bool beyondShare = upstream.connections.size() > this->connectionShareOf(upstream);
+    const bool mustShrink = beyondShare && this->now < upstream.noBorrowingUntil;
     const bool unusable = !upstream.listed || upstream.entry.draining;
     const auto service = connection.service;
     if (mustShrink || unusable)
         this->close(connection);
     else
-        this->serveOwnTeam(connection);
-    this->pump(this->group(service));
+        this->serveSameTeam(connection);
+    this->dispatchWaiting(this->group(service));
 }
 
 void SessionEngine::State::close(PooledConnection& connection)
@@ -351,24 +353,24 @@
     auto& group = this->group(connection->service);
     auto& upstream = this->upstreamOf(*connection);
     if (connection->phase != PooledConnection::Phase::Idle)
-        --upstream.working;
+        --upstream.connectionsInUse;
     std::erase(upstream.connections, id);
     if (!upstream.listed && upstream.connections.empty())
         group.upstreams.erase(connection->upstream);
     this->connections.erase(static_cast<std::uint64_t>(id));
 }
 
-void SessionEngine::State::noteFailure(UpstreamState& upstream)
+void SessionEngine::State::recordConnectFailure(UpstreamState& upstream)
 {
-    upstream.downUntil = this->now
-        + doubled(
-            this->options.settings.downPause, upstream.failures, this->options.settings.downPauseAtMost);
+    upstream.unreachableUntil = this->now
+        + exponentialBackoff(this->options.settings.reconnectBackoff, upstream.failures,
+            this->options.settings.maxReconnectBackoff);
     ++upstream.failures;
     if (!upstream.failingSince)
         upstream.failingSince = this->now;
 }
 
-void SessionEngine::State::noteAnswer(PooledConnection& connection, const Reply& reply)
+void SessionEngine::State::recordAnswer(PooledConnection& connection, const Reply& reply)
 {
     auto& group = this->group(connection.service);
     auto& upstream = this->upstreamOf(connection);
@@ -380,33 +382,34 @@
         upstream.limit.onAnswer(this->now - connection.sentAt);
     if (!reply.progress)
         return;
-    upstream.known = std::max(upstream.known, *reply.progress);
-    upstream.lag = group.history.lagOf(upstream.known, this->now);
-    if (upstream.lag < this->options.settings.laggingPause) {
-        upstream.laggingTimes = 0;
+    upstream.knownProgress = std::max(upstream.knownProgress, *reply.progress);
+    upstream.lag = group.history.lagOf(upstream.knownProgress, this->now);
+    if (upstream.lag < this->options.settings.laggingBackoff) {
+        upstream.laggingCount = 0;
         upstream.laggingUntil = Instant::min();
     }
-    this->noteTerm(group, this->sourceOf(connection), reply.progress->term);
-    // The position speaks for the time at which the statement went out, if the view held then.
+    this->recordTerm(group, this->sourceOf(connection), reply.progress->term);
+    // The position applies to the time at which the statement was sent, provided that the view was valid
+    // then.
     if (group.isLedBy(connection.upstream, connection.sentAt) && reply.progress->term == group.view.term)
-        group.history.note({ .progress = *reply.progress, .seenAt = connection.sentAt });
+        group.history.record({ .progress = *reply.progress, .seenAt = connection.sentAt });
 }
 
-void SessionEngine::State::noteNotRun(PooledConnection& connection, StatementError error)
+void SessionEngine::State::recordNotRun(PooledConnection& connection, StatementError error)
 {
     auto& upstream = this->upstreamOf(connection);
     if (error == StatementError::Busy) {
-        upstream.busyUntil = this->now + this->options.settings.busyPause;
+        upstream.busyUntil = this->now + this->options.settings.busyBackoff;
         upstream.limit.onFull(this->now);
     }
     if (error == StatementError::Lagging) {
         upstream.laggingUntil = this->now
-            + doubled(this->options.settings.laggingPause, upstream.laggingTimes,
-                this->options.settings.laggingPauseAtMost);
-        ++upstream.laggingTimes;
+            + exponentialBackoff(this->options.settings.laggingBackoff, upstream.laggingCount,
+                this->options.settings.maxLaggingBackoff);
+        ++upstream.laggingCount;
     }
     if (error == StatementError::ReadOnly)
-        this->noteRefusedLead(connection);
+        this->recordLeadRefusal(connection);
 }
 
 void SessionEngine::State::checkTimeouts()
@@ -425,7 +428,7 @@
     }
 }
 
-void SessionEngine::State::closeSpareConnections()
+void SessionEngine::State::closeIdleConnections()
 {
     const auto& settings = this->options.settings;
     std::vector<ConnectionId> idle;
@@ -436,10 +439,10 @@
     for (const auto id : idle) {
         auto& connection = this->connections.at(static_cast<std::uint64_t>(id));
         const auto& upstream = this->upstreamOf(connection);
-        const bool atHome = this->homesFor(this->connectionCapOf(connection.service)) != nullptr;
-        const auto kept = atHome ? settings.idleTimeAtHome : settings.idleTime;
-        const bool spare = this->now - connection.idleSince >= kept;
-        if (spare || !upstream.listed || upstream.entry.draining)
+        const bool hasOwners = this->ownersFor(this->connectionCapOf(connection.service)) != nullptr;
+        const auto timeout = hasOwners ? settings.ownerIdleTimeout : settings.idleTimeout;
+        const bool idleTooLong = this->now - connection.idleSince >= timeout;
+        if (idleTooLong || !upstream.listed || upstream.entry.draining)
             this->close(connection);
     }
 }
--- a/src/pooling/engine_dispatch.cpp
+++ b/src/pooling/engine_dispatch.cpp
@@ -8,18 +8,19 @@
 
 namespace {
 
-// Costs of serving a read at an upstream, in statements that this VM already has there. Opening a connection
-// takes about half of a short statement's time at the upstream and a round trip more.
-constexpr double openingCost = 0.6;
-// The primary alone can take writes, so reads go elsewhere while the difference is small.
-constexpr double primaryCost = 0.8;
-// Another availability zone adds a round trip of 2 ms, small against a statement's 10 to 40 ms.
-constexpr double otherZoneCost = 0.1;
-// A refusal by a replica that is behind costs a round trip and a place at the next upstream.
-constexpr double behindCost = 0.6;
+// Costs of running a read at an upstream, in units of one statement that this VM already runs there. Opening
+// a connection takes about half the upstream's time for a short statement, plus a round trip.
+constexpr double connectionOpeningCost = 0.6;
+// Only the primary can run writes, so reads prefer replicas while the load differs little.
+constexpr double primaryReadCost = 0.8;
+// Another availability zone adds a round trip of 2 ms, little against the 10 to 40 ms of a statement.
+constexpr double crossZoneCost = 0.1;
+// A refusal by a lagging replica costs a round trip, and the statement has to queue again at the next
+// upstream.
+constexpr double laggingReplicaCost = 0.6;
 
-// One connection stays free for asking after the upstream's status.
-std::size_t usableOf(std::uint32_t connectionCap)
+// One connection is reserved for status queries.
+std::size_t usableConnections(std::uint32_t connectionCap)
 {
     return connectionCap > 1 ? connectionCap - 1 : connectionCap;
 }
@@ -31,21 +32,21 @@
     auto& group = this->group(session.route.service);
     if (group.view.phase == LeaderView::Phase::Changing && this->isLeaderless(group, session)) {
         this->refuse(session, StatementError::Busy,
-            adviceText("the primary is being replaced", this->options.settings.changeAdvice));
+            adviceText("the primary is being replaced", this->options.settings.primaryChangeRetryAfter));
         return;
     }
     group.waiting.push_back(session.id);
-    this->pump(group);
+    this->dispatchWaiting(group);
 }
 
 bool SessionEngine::State::isLeaderless(const GroupState& group, const CallerSession& session) const
 {
-    // A replica can only be named a position to read at when one was seen while the primary was known to
-    // lead. After a restart there is none, and reads depend on the primary as writes do.
-    return !group.hasLeader(this->now) && !this->neededProgress(group, session);
+    // A read on a replica needs a position that was observed under a valid view of the primary. After a
+    // restart there is none, and reads depend on the primary just as writes do.
+    return !group.hasLeader(this->now) && !this->replicaRequirement(group, session);
 }
 
-void SessionEngine::State::pump(GroupState& group)
+void SessionEngine::State::dispatchWaiting(GroupState& group)
 {
     if (group.waiting.empty())
         return;
@@ -56,52 +57,53 @@
             return one->route.priority < other->route.priority;
         return one->work->arrivedAt < other->work->arrivedAt;
     });
-    // Serving may end sessions and make new work wait, so each pass goes over a copy.
+    // Serving a statement may end sessions and add new waiting ones, so this iterates over a copy.
     const auto waiting = group.waiting;
     for (const auto id : waiting) {
         auto* session = this->findCaller(id);
         if (session == nullptr || !session->work || session->work->connection)
             continue;
-        this->assign(group, *session);
+        this->assignUpstream(group, *session);
     }
 }
 
-void SessionEngine::State::serveOwnTeam(PooledConnection& connection)
+void SessionEngine::State::serveSameTeam(PooledConnection& connection)
 {
     auto& group = this->group(connection.service);
     const auto& upstream = this->upstreamOf(connection);
     const CallerSession* first = nullptr;
-    CallerSession* own = nullptr;
+    CallerSession* sameTeam = nullptr;
     for (const auto id : group.waiting) {
         auto* session = this->findCaller(id);
         if (session == nullptr || !session->work || session->work->connection
-            || !this->canServe(group, upstream, *session, this->neededProgress(group, *session)))
+            || !this->canServe(group, upstream, *session, this->replicaRequirement(group, *session)))
             continue;
         if (first == nullptr)
             first = session;
-        if (own == nullptr && session->team == connection.team)
-            own = session;
+        if (sameTeam == nullptr && session->team == connection.team)
+            sameTeam = session;
     }
-    if (own == nullptr || first->route.priority < own->route.priority)
+    if (sameTeam == nullptr || first->route.priority < sameTeam->route.priority)
         return;
-    if (own->work->arrivedAt > first->work->arrivedAt + this->options.settings.teamAffinity)
+    if (sameTeam->work->arrivedAt > first->work->arrivedAt + this->options.settings.teamAffinityWindow)
         return;
-    std::erase(group.waiting, own->id);
-    this->serveOn(connection, *own);
+    std::erase(group.waiting, sameTeam->id);
+    this->runOn(connection, *sameTeam);
 }
 
-void SessionEngine::State::assign(GroupState& group, CallerSession& session)
+void SessionEngine::State::assignUpstream(GroupState& group, CallerSession& session)
 {
-    const auto needed = this->neededProgress(group, session);
+    const auto requirement = this->replicaRequirement(group, session);
     UpstreamState* best = nullptr;
     double bestCost = std::numeric_limits<double>::infinity();
     for (auto& [name, upstream] : group.upstreams) {
-        if (!this->canServe(group, upstream, session, needed))
+        if (!this->canServe(group, upstream, session, requirement))
             continue;
         const bool idle = this->idleConnection(upstream, session.team) != nullptr;
-        if (!idle && !this->hasRoom(upstream))
+        if (!idle && !this->canOpenConnection(upstream))
             continue;
-        const auto cost = this->costOf(group, upstream, session, needed) + (idle ? 0 : openingCost);
+        const auto cost
+            = this->costOf(group, upstream, session, requirement) + (idle ? 0 : connectionOpeningCost);
         if (cost < bestCost) {
             best = &upstream;
             bestCost = cost;
@@ -111,29 +113,29 @@
         return;
     std::erase(group.waiting, session.id);
     if (auto* connection = this->idleConnection(*best, session.team))
-        this->serveOn(*connection, session);
+        this->runOn(*connection, session);
     else
-        this->openFor(group, *best, session);
+        this->openConnectionFor(group, *best, session);
 }
 
 bool SessionEngine::State::canServe(const GroupState& group, const UpstreamState& upstream,
-    const CallerSession& session, const std::optional<NeededProgress>& needed) const
+    const CallerSession& session, const std::optional<ReplicaRequirement>& requirement) const
 {
     if (!upstream.listed || upstream.entry.draining)
         return false;
-    if (this->now < upstream.downUntil || this->now < upstream.busyUntil)
+    if (this->now < upstream.unreachableUntil || this->now < upstream.busyUntil)
         return false;
     if (this->runningAt(upstream) >= upstream.limit.current())
         return false;
-    if (session.work->avoided.contains(upstream.entry.name, this->now))
+    if (session.work->skipped.contains(upstream.entry.name, this->now))
         return false;
     if (group.isLedBy(upstream.entry.name, this->now))
         return true;
-    if (!needed)
+    if (!requirement)
         return false;
-    // A replica that is not believed to have caught up is asked now and then all the same: nothing else would
-    // show that it has.
-    return this->hasCaughtUp(upstream, *needed) || this->now >= upstream.laggingUntil;
+    // A replica that seems to lag is still asked from time to time, as only its answer can show that it has
+    // caught up.
+    return this->hasCaughtUp(upstream, *requirement) || this->now >= upstream.laggingUntil;
 }
 
 std::size_t SessionEngine::State::runningAt(const UpstreamState& upstream) const
@@ -145,15 +147,16 @@
         }));
 }
 
-bool SessionEngine::State::hasCaughtUp(const UpstreamState& upstream, const NeededProgress& needed) const
+bool SessionEngine::State::hasCaughtUp(
+    const UpstreamState& upstream, const ReplicaRequirement& requirement) const
 {
-    if (upstream.known >= needed.progress)
+    if (upstream.knownProgress >= requirement.progress)
         return true;
     const bool refusedLately = this->now < upstream.laggingUntil;
-    return !refusedLately && this->now - upstream.lag >= needed.at;
+    return !refusedLately && this->now - upstream.lag >= requirement.at;
 }
 
-std::optional<NeededProgress> SessionEngine::State::neededProgress(
+std::optional<ReplicaRequirement> SessionEngine::State::replicaRequirement(
     const GroupState& group, const CallerSession& session) const
 {
     if (session.work->needsPrimary)
@@ -161,31 +164,33 @@
     const auto staleness = maxStalenessOf(session.route.freshness) - this->options.settings.stalenessMargin;
     if (staleness <= Duration {})
         return std::nullopt;
-    const auto fresh = group.history.covering(this->now - staleness);
+    const auto fresh = group.history.oldestCovering(this->now - staleness);
     if (!fresh)
         return std::nullopt;
-    const NeededProgress needed { .progress = fresh->progress, .at = fresh->seenAt };
+    const ReplicaRequirement requirement { .progress = fresh->progress, .at = fresh->seenAt };
     const bool ownWrites = std::holds_alternative<ReadOwnWritesRoute>(session.route.freshness);
-    if (!ownWrites || !session.floor || session.floorService != session.route.service)
-        return needed;
-    // A write of an earlier term is either in the log of every upstream of the newer term or was dropped by
-    // the promotion, so the position of the newer term stands for it.
-    if (session.floor->term < needed.progress.term || *session.floor <= needed.progress)
-        return needed;
-    return NeededProgress { .progress = *session.floor, .at = session.floorAt };
+    if (!ownWrites || !session.requiredProgress || session.requiredProgressService != session.route.service)
+        return requirement;
+    // A write of an earlier term is either in the log of every upstream of the newer term or was lost in the
+    // promotion. The position in the newer term therefore covers it.
+    if (session.requiredProgress->term < requirement.progress.term
+        || *session.requiredProgress <= requirement.progress)
+        return requirement;
+    return ReplicaRequirement { .progress = *session.requiredProgress, .at = session.requiredProgressAt };
 }
 
 double SessionEngine::State::costOf(const GroupState& group, const UpstreamState& upstream,
-    const CallerSession& session, const std::optional<NeededProgress>& needed) const
+    const CallerSession& session, const std::optional<ReplicaRequirement>& requirement) const
 {
-    double cost = upstream.working;
+    double cost = upstream.connectionsInUse;
     if (upstream.entry.zone != this->options.zone)
-        cost += otherZoneCost;
+        cost += crossZoneCost;
     if (!session.work->needsPrimary && group.view.primary == upstream.entry.name)
-        cost += primaryCost;
-    // A replica that is behind as far as known is asked last: it would only say so.
-    if (needed && group.view.primary != upstream.entry.name && !this->hasCaughtUp(upstream, *needed))
-        cost += behindCost;
+        cost += primaryReadCost;
+    // A replica that is known to lag is asked last, as it would only refuse.
+    if (requirement && group.view.primary != upstream.entry.name
+        && !this->hasCaughtUp(upstream, *requirement))
+        cost += laggingReplicaCost;
     return cost;
 }
 
@@ -200,61 +205,63 @@
     return nullptr;
 }
 
-PooledConnection* SessionEngine::State::oldestIdle(const UpstreamState& upstream)
+PooledConnection* SessionEngine::State::longestIdleConnection(const UpstreamState& upstream)
 {
-    PooledConnection* oldest = nullptr;
+    PooledConnection* longestIdle = nullptr;
     for (const auto id : upstream.connections) {
         auto* candidate = this->findConnection(id);
         const bool idle = candidate != nullptr && candidate->phase == PooledConnection::Phase::Idle;
-        if (idle && (oldest == nullptr || candidate->idleSince < oldest->idleSince))
-            oldest = candidate;
+        if (idle && (longestIdle == nullptr || candidate->idleSince < longestIdle->idleSince))
+            longestIdle = candidate;
     }
-    return oldest;
+    return longestIdle;
 }
 
-bool SessionEngine::State::hasRoom(const UpstreamState& upstream)
+bool SessionEngine::State::canOpenConnection(const UpstreamState& upstream)
 {
-    return upstream.connections.size() < this->allowedAt(upstream) || this->oldestIdle(upstream) != nullptr;
+    return upstream.connections.size() < this->maxConnectionsAt(upstream)
+        || this->longestIdleConnection(upstream) != nullptr;
 }
 
-std::size_t SessionEngine::State::allowedAt(const UpstreamState& upstream) const
+std::size_t SessionEngine::State::maxConnectionsAt(const UpstreamState& upstream) const
 {
-    const bool borrows = this->now >= upstream.keepToShareUntil;
-    return this->shareOf(upstream) + (borrows ? this->options.settings.borrowed : 0);
+    const bool borrows = this->now >= upstream.noBorrowingUntil;
+    return this->connectionShareOf(upstream) + (borrows ? this->options.settings.maxBorrowedConnections : 0);
 }
 
-std::size_t SessionEngine::State::shareOf(const UpstreamState& upstream) const
+std::size_t SessionEngine::State::connectionShareOf(const UpstreamState& upstream) const
 {
     const auto cap = this->connectionCapOf(upstream.entry.service);
-    if (auto* homes = this->homesFor(cap))
-        return homes->shareOf(upstream.entry.service, cap);
+    if (auto* owners = this->ownersFor(cap))
+        return owners->connectionShareOf(upstream.entry.service, cap);
     if (this->place.vms == 0)
         return 1;
     const auto vms = this->place.vms;
-    // What does not divide evenly goes to other VMs at each upstream.
+    // The remainder of the division goes to different VMs at each upstream.
     const auto turn = std::hash<std::string_view> {}(upstream.entry.name.view());
-    const bool extra = (this->place.rank + turn) % vms < usableOf(cap) % vms;
-    return std::max<std::size_t>(this->ownPartOf(cap) + (extra ? 1 : 0), 1);
+    const bool extra = (this->place.rank + turn) % vms < usableConnections(cap) % vms;
+    return std::max<std::size_t>(this->evenShareOf(cap) + (extra ? 1 : 0), 1);
 }
 
-std::size_t SessionEngine::State::ownPartOf(std::uint32_t connectionCap) const
+std::size_t SessionEngine::State::evenShareOf(std::uint32_t connectionCap) const
 {
-    return this->place.vms == 0 ? 0 : usableOf(connectionCap) / this->place.vms;
+    return this->place.vms == 0 ? 0 : usableConnections(connectionCap) / this->place.vms;
 }
 
-std::size_t SessionEngine::State::keptAt(const UpstreamState& upstream) const
+std::size_t SessionEngine::State::connectionsKeptAt(const UpstreamState& upstream) const
 {
-    // When all VMs lose power, an upstream takes what they had open for taken for seconds more. The half that
-    // stays free in quiet times is what the restarted VMs serve their callers on meanwhile; without it they
-    // are refused for want of connections.
-    return std::max<std::size_t>(this->shareOf(upstream) / 2, 1);
+    // When all VMs lose power, an upstream counts their open connections as taken for some more seconds. The
+    // half that is kept free in quiet times serves the callers of the restarted VMs meanwhile; without it
+    // they would be refused for lack of connections.
+    return std::max<std::size_t>(this->connectionShareOf(upstream) / 2, 1);
 }
 
-void SessionEngine::State::openFor(GroupState& group, UpstreamState& upstream, CallerSession& session)
+void SessionEngine::State::openConnectionFor(
+    GroupState& group, UpstreamState& upstream, CallerSession& session)
 {
-    if (upstream.connections.size() >= this->keptAt(upstream)) {
-        if (auto* oldest = this->oldestIdle(upstream))
-            this->close(*oldest);
+    if (upstream.connections.size() >= this->connectionsKeptAt(upstream)) {
+        if (auto* longestIdle = this->longestIdleConnection(upstream))
+            this->close(*longestIdle);
     }
     const ConnectionId id { ++this->lastConnection };
     auto& connection = this->connections[static_cast<std::uint64_t>(id)];
@@ -266,29 +273,29 @@
     connection.sentAt = this->now;
     connection.answerBy = this->now + this->options.settings.openTimeout;
     upstream.connections.push_back(id);
-    ++upstream.working;
+    ++upstream.connectionsInUse;
     session.work->connection = id;
     ++this->counters.connectionsOpened;
     this->actions.emplace_back(
         OpenConnection { .connection = id, .upstream = upstream.entry, .team = session.team });
 }
 
-void SessionEngine::State::serveOn(PooledConnection& connection, CallerSession& session)
+void SessionEngine::State::runOn(PooledConnection& connection, CallerSession& session)
 {
     auto& work = *session.work;
     if (connection.phase == PooledConnection::Phase::Idle)
-        ++this->upstreamOf(connection).working;
+        ++this->upstreamOf(connection).connectionsInUse;
     connection.phase = PooledConnection::Phase::Working;
     connection.user = session.id;
     work.connection = connection.id;
-    for (auto& step : connection.state.match(session.state, work.shape ? &*work.shape : nullptr)) {
+    for (auto& step : connection.state.stepsToMatch(session.state, work.shape ? &*work.shape : nullptr)) {
         auto statement = std::visit([](auto& what) { return UpstreamStatement { std::move(what) }; }, step);
         connection.steps.push_back({ .kind = StepKind::Setup, .statement = std::move(statement) });
     }
     if (work.opensTransaction)
         connection.steps.push_back({ .kind = StepKind::Open,
             .statement = OpenTransaction { .readOnly = session.transactionReadOnly } });
-    PassStatement main { .id = work.query.id, .text = work.query.text };
+    RelayStatement main { .id = work.query.id, .text = work.query.text };
     if (const auto* execute = std::get_if<ExecutePrepared>(&work.query.statement);
         execute != nullptr && work.shape)
         main.execute = ExecutePrepared { .name = connection.state.nameOf(*work.shape),
@@ -300,10 +307,10 @@
 void SessionEngine::State::runPinned(CallerSession& session)
 {
     if (auto* connection = session.pinned ? this->findConnection(*session.pinned) : nullptr)
-        this->serveOn(*connection, session);
+        this->runOn(*connection, session);
 }
 
-void SessionEngine::State::refuseOverdue(GroupState& group)
+void SessionEngine::State::refuseOverdueStatements(GroupState& group)
 {
     const auto waiting = group.waiting;
     for (const auto id : waiting) {
@@ -312,18 +319,19 @@
             continue;
         const auto& work = *session->work;
         const bool leaderless = this->isLeaderless(group, *session);
-        const auto patience = (work.offerBy - work.arrivedAt) / this->options.settings.leaderlessWaitDivisor;
-        const bool hopeless = leaderless
-            && (group.view.phase == LeaderView::Phase::Changing || this->now >= work.arrivedAt + patience);
-        if (!hopeless && this->now < work.offerBy)
+        const auto maxWait
+            = (work.dispatchDeadline - work.arrivedAt) / this->options.settings.leaderlessWaitDivisor;
+        const bool cannotBeServed = leaderless
+            && (group.view.phase == LeaderView::Phase::Changing || this->now >= work.arrivedAt + maxWait);
+        if (!cannotBeServed && this->now < work.dispatchDeadline)
             continue;
         std::erase(group.waiting, id);
         if (leaderless)
             this->refuse(*session, StatementError::Busy,
-                adviceText("no primary is known to lead", this->options.settings.changeAdvice));
+                adviceText("no primary is known to lead", this->options.settings.primaryChangeRetryAfter));
         else
             this->refuse(*session, StatementError::Busy,
-                adviceText("all connections are taken", this->options.settings.overloadAdvice));
+                adviceText("all connections are taken", this->options.settings.overloadRetryAfter));
     }
 }
 
--- /dev/null
+++ b/src/pooling/engine_forwarding.cpp
@@ -0,0 +1,261 @@
+#include "engine_state.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace cyclamendrift {
+
+namespace {
+
+// Ids of remote sessions have the highest bit set; ids of a VM's own callers count up from one.
+constexpr std::uint64_t remoteSessionBit = std::uint64_t { 1 } << 63U;
+
+// A second owner is tried when the first one cannot be reached. After that the statement runs on this VM,
+// over the one connection that every VM may open.
+constexpr std::size_t maxOwnersTried = 2;
+
+} // namespace
+
+void SessionEngine::State::dispatch(CallerSession& session)
+{
+    if (session.owner && this->ownerHealth.isUnreachable(*session.owner))
+        return this->dropTransaction(session, "the transaction's owner VM cannot be reached");
+    if (session.owner)
+        return this->forwardTo(session, *session.owner);
+    if (const auto owner = this->selectOwner(session))
+        return this->forwardTo(session, *owner);
+    this->enqueue(session);
+}
+
+std::uint32_t SessionEngine::State::connectionCapOf(const ServiceName& service) const
+{
+    const auto cap = this->routes->connectionCaps.find(service);
+    return cap == this->routes->connectionCaps.end() ? 1 : cap->second;
+}
+
+ServiceOwners* SessionEngine::State::ownersFor(std::uint32_t connectionCap) const
+{
+    // Forwarding costs time and traffic between availability zones, and an owner that dies loses the
+    // transactions of all VMs. Both are only worth it where this VM cannot serve its callers by itself.
+    const bool alone = this->evenShareOf(connectionCap) >= this->options.settings.minShareWithoutOwners;
+    return alone ? nullptr : this->place.owners.get();
+}
+
+std::optional<VmName> SessionEngine::State::selectOwner(const CallerSession& session) const
+{
+    const auto& service = session.route.service;
+    const auto cap = this->connectionCapOf(service);
+    auto* owners = session.remoteSession ? nullptr : this->ownersFor(cap);
+    if (owners == nullptr)
+        return std::nullopt;
+    std::size_t tried = 0;
+    for (const auto& vm : owners->rankedOwners(service, session.team, cap)) {
+        if (vm == owners->self())
+            return std::nullopt;
+        if (this->ownerHealth.isUnreachable(vm))
+            continue;
+        if (tried++ == maxOwnersTried)
+            return std::nullopt;
+        if (!this->skippedOwners.contains(vm, this->now))
+            return vm;
+    }
+    return std::nullopt;
+}
+
+void SessionEngine::State::forwardTo(CallerSession& session, const VmName& owner)
+{
+    auto& work = *session.work;
+    work.forwardedTo = owner;
+    work.forwardedAt = this->now;
+    if (!session.owner)
+        session.sessionAtOwner = CallerId { this->remoteSessionNumbers() | remoteSessionBit };
+    ForwardedStatement forwarded;
+    forwarded.remoteSession = session.sessionAtOwner;
+    forwarded.continuesTransaction = session.owner.has_value();
+    forwarded.query = work.query;
+    forwarded.kind = work.kind;
+    forwarded.team = session.team;
+    forwarded.route = session.route;
+    forwarded.state.values = session.state.values;
+    if (const auto* execute = std::get_if<ExecutePrepared>(&work.query.statement);
+        execute != nullptr && work.shape)
+        forwarded.state.prepared.emplace(execute->name, *work.shape);
+    forwarded.inTransaction = session.phase == SessionPhase::InTransaction;
+    forwarded.readOnly = session.transactionReadOnly;
+    if (session.requiredProgress && session.requiredProgressService == session.route.service) {
+        forwarded.requiredProgress = session.requiredProgress;
+        forwarded.requiredProgressAge = this->now - session.requiredProgressAt;
+    }
+    forwarded.waited = this->now - work.arrivedAt;
+    ++this->counters.forwarded;
+    const auto timeLimit = work.deadline - this->now + this->options.settings.ownerReplyGrace;
+    this->actions.emplace_back(ForwardStatement {
+        .caller = session.id, .owner = owner, .work = std::move(forwarded), .timeLimit = timeLimit });
+}
+
+void SessionEngine::State::forwardedStatementAnswered(CallerId caller, CallerId remoteSession, Reply reply)
+{
+    auto* session = this->findCaller(caller);
+    const auto owner = session != nullptr && session->work ? session->work->forwardedTo : std::nullopt;
+    if (!owner)
+        return;
+    // A late answer to an abandoned statement must not be taken for the answer to the statement after it.
+    if (remoteSession != session->sessionAtOwner)
+        return;
+    this->ownerHealth.answered(*owner, this->now);
+    const auto kind = session->work->kind;
+    const bool inTransaction = session->phase == SessionPhase::InTransaction;
+    if (reply.progress)
+        this->recordTerm(this->group(session->route.service),
+            { .source = owner->view(), .statementId = session->work->query.id }, reply.progress->term);
+    if (reply.failure) {
+        if (meansNotRun(reply.failure->error))
+            this->refundToken(*session);
+        session->tokenSpent = false;
+        this->logFailure(*session, UpstreamName { owner->string() }, *reply.failure);
+        if (inTransaction) {
+            // The owner has rolled back the transaction along with the failed statement.
+            session->owner.reset();
+            session->phase = phaseAfterFailure(kind);
+        }
+        return this->answer(*session, std::move(reply));
+    }
+    session->tokenSpent = false;
+    const bool commitsWrite = inTransaction ? kind == StatementKind::Commit && session->transactionWrote
+                                            : kind == StatementKind::Write;
+    if (commitsWrite && reply.progress)
+        recordOwnWrite(*session, *reply.progress, session->work->forwardedAt);
+    if (inTransaction)
+        this->finishForwardedInTransaction(*session);
+    this->answer(*session, std::move(reply));
+}
+
+void SessionEngine::State::finishForwardedInTransaction(CallerSession& session)
+{
+    if (session.work->kind == StatementKind::Commit) {
+        session.owner.reset();
+        session.phase = SessionPhase::Idle;
+        return;
+    }
+    session.owner = session.work->forwardedTo;
+    session.transactionWrote = session.transactionWrote || session.work->kind == StatementKind::Write;
+}
+
+void SessionEngine::State::checkSilentOwners()
+{
+    std::map<VmName, Instant> oldest;
+    for (const auto& [id, session] : this->callers) {
+        const auto* owner = session.work ? session.work->owner() : nullptr;
+        if (owner == nullptr)
+            continue;
+        auto& since = oldest.try_emplace(*owner, session.work->forwardedAt).first->second;
+        since = std::min(since, session.work->forwardedAt);
+    }
+    this->ownerHealth.recordWaiting(oldest);
+    for (auto& owner : this->ownerHealth.beginDueChecks(this->now))
+        this->actions.emplace_back(CheckOwnerLiveness { std::move(owner) });
+}
+
+void SessionEngine::State::ownerLivenessChecked(const VmName& owner, bool alive)
+{
+    const bool wasUnreachable = this->ownerHealth.isUnreachable(owner);
+    const bool becameUnreachable = this->ownerHealth.checkEnded(owner, alive, this->now);
+    if (wasUnreachable && alive)
+        this->log("home_back", { { "vm", owner.string() } });
+    if (!becameUnreachable)
+        return;
+    this->log("home_out_of_reach", { { "vm", owner.string() } });
+}
+
+void SessionEngine::State::forwardingFailed(CallerId caller, CallerId remoteSession, ForwardFailure failure)
+{
+    auto* session = this->findCaller(caller);
+    const auto owner = session != nullptr && session->work ? session->work->forwardedTo : std::nullopt;
+    if (!owner || remoteSession != session->sessionAtOwner)
+        return;
+    session->work->forwardedTo.reset();
+    this->skippedOwners.add(*owner, this->now + this->options.settings.ownerBackoff);
+    this->log("home_failed",
+        { { "id", session->work->query.id }, { "vm", owner->string() },
+            { "service", session->route.service.string() },
+            { "taken", failure == ForwardFailure::Lost ? "perhaps" : "no" } });
+    if (failure == ForwardFailure::Lost) {
+        const bool commits = session->work->kind == StatementKind::Commit;
+        if (commits)
+            session->owner.reset();
+        else if (session->phase == SessionPhase::InTransaction)
+            session->owner = owner;
+        return this->handleLostAnswer(*session, StepKind::Main, "the owner VM's answer was lost");
+    }
+    if (session->owner)
+        return this->dropTransaction(*session, "the transaction's owner VM cannot be reached");
+    this->dispatch(*session);
+}
+
+void SessionEngine::State::releaseRemoteSession(CallerSession& session)
+{
+    const auto owner = session.owner ? session.owner
+        : session.work               ? session.work->forwardedTo
+                                     : std::optional<VmName> {};
+    session.owner.reset();
+    if (owner && session.phase == SessionPhase::InTransaction)
+        this->actions.emplace_back(
+            ReleaseRemoteSession { .owner = *owner, .remoteSession = session.sessionAtOwner });
+}
+
+void SessionEngine::State::forwardedStatementReceived(ForwardedStatement work)
+{
+    const auto* known = this->findCaller(work.remoteSession);
+    const bool open = known != nullptr && known->phase == SessionPhase::InTransaction && !known->work;
+    if (work.continuesTransaction != open) {
+        auto gone
+            = failureReply(StatementError::Aborted, "the transaction is no longer open on the owner VM");
+        this->actions.emplace_back(
+            AnswerRemoteSession { .remoteSession = work.remoteSession, .reply = std::move(gone) });
+        return;
+    }
+    ++this->counters.acceptedFromSiblings;
+    auto& session = this->callers[static_cast<std::uint64_t>(work.remoteSession)];
+    session.id = work.remoteSession;
+    session.remoteSession = true;
+    session.started = true;
+    session.team = std::move(work.team);
+    session.route = std::move(work.route);
+    session.state = std::move(work.state);
+    session.phase = work.inTransaction ? SessionPhase::InTransaction : SessionPhase::Idle;
+    session.transactionReadOnly = work.readOnly;
+    session.requiredProgress.reset();
+    if (work.requiredProgress) {
+        recordOwnWrite(session, *work.requiredProgress, this->now - work.requiredProgressAge);
+        // The write was committed in this term, so a primary of it leads or has led.
+        this->recordTerm(this->group(session.route.service),
+            { .source = "a sibling", .statementId = work.query.id }, work.requiredProgress->term);
+    }
+    session.arrivedAt = this->now - work.waited;
+    session.lastActive = this->now;
+    session.statementId = work.query.id;
+    this->runOnUpstream(session, std::move(work.query), work.kind);
+}
+
+void SessionEngine::State::answerRemoteSession(CallerSession& session, Reply reply)
+{
+    session.work.reset();
+    session.unconfirmed.reset();
+    session.lastActive = this->now;
+    reply.phase = session.phase;
+    this->actions.emplace_back(
+        AnswerRemoteSession { .remoteSession = session.id, .reply = std::move(reply) });
+    // Only within an open transaction does the sibling's next statement have to come to this VM.
+    if (session.phase != SessionPhase::InTransaction)
+        this->removeSession(session.id);
+}
+
+void SessionEngine::State::endRemoteSession(CallerSession& session, const char* reason)
+{
+    this->log("guest_ended",
+        { { "id", session.statementId }, { "service", session.route.service.string() },
+            { "team", session.team.string() }, { "reason", reason } });
+    this->removeSession(session.id);
+}
+
+} // namespace cyclamendrift
--- a/src/pooling/progress_history.cpp
+++ b/src/pooling/progress_history.cpp
@@ -6,27 +6,28 @@
 
 namespace {
 
-// Routes allow staleness of a few seconds; older observations are of no use to any.
-constexpr Duration kept = std::chrono::seconds { 10 };
-// Observations closer together than this change little in what a replica must have.
-constexpr Duration resolution = std::chrono::milliseconds { 20 };
+// Routes allow a staleness of a few seconds, so no read uses older observations.
+constexpr Duration maxObservationAge = std::chrono::seconds { 10 };
+// Observations at shorter intervals make little difference to what a replica must have reached.
+constexpr Duration minObservationInterval = std::chrono::milliseconds { 20 };
 
 } // namespace
 
-void ProgressHistory::note(const Observation& observation)
+void ProgressHistory::record(const Observation& observation)
 {
     if (!this->observations.empty() && observation.progress.term < this->observations.back().progress.term)
         return;
     if (!this->observations.empty() && observation.progress.term > this->observations.back().progress.term)
         this->observations.clear();
-    if (!this->observations.empty() && observation.seenAt < this->observations.back().seenAt + resolution)
+    if (!this->observations.empty()
+        && observation.seenAt < this->observations.back().seenAt + minObservationInterval)
         return;
     this->observations.push_back(observation);
-    while (this->observations.front().seenAt + kept < observation.seenAt)
+    while (this->observations.front().seenAt + maxObservationAge < observation.seenAt)
         this->observations.pop_front();
 }
 
-std::optional<ProgressHistory::Observation> ProgressHistory::covering(Instant instant) const
+std::optional<ProgressHistory::Observation> ProgressHistory::oldestCovering(Instant instant) const
 {
     const auto fresh = std::lower_bound(this->observations.begin(), this->observations.end(), instant,
         [](const Observation& observation, Instant wanted) { return observation.seenAt < wanted; });
--- a/tests/leadership/leader_coordinator_test.cpp
+++ b/tests/leadership/leader_coordinator_test.cpp
@@ -322,11 +322,11 @@
         auto& vm = simulation.vm(2);
         vm.storeUnreachableUntil = simulation.now + 20s;
         vm.unreachableUpstreams = { UpstreamName { "replica-1" }, UpstreamName { "replica-2" } };
-        REQUIRE(simulation.advanceUntil(3s, [&] { return !vm.coordinator.view().holds(simulation.now); }));
+        REQUIRE(simulation.advanceUntil(3s, [&] { return !vm.coordinator.view().isValid(simulation.now); }));
         const UpstreamStatus follows { .term = Term { 1 } };
         for (const auto* name : { "replica-1", "replica-2" })
             vm.coordinator.onStatus(UpstreamName { name }, follows, simulation.now - 50ms, simulation.now);
-        CHECK_FALSE(vm.coordinator.view().holds(simulation.now));
+        CHECK_FALSE(vm.coordinator.view().isValid(simulation.now));
     }
 
     TEST_CASE("a replica that the coordinator cannot reach does not extend a view of the old primary")
@@ -453,9 +453,9 @@
         snapshot.coordinatorLease = CoordinatorLease { .holder = other, .token = 15, .revision = 15 };
         snapshot.askedAt = start;
         coordinator.onSnapshot(snapshot, start + 10ms);
-        REQUIRE_FALSE(coordinator.view().holds(start + 20ms));
+        REQUIRE_FALSE(coordinator.view().isValid(start + 20ms));
         coordinator.onRecordWritten(led, 10, start + 20ms);
-        CHECK_FALSE(coordinator.view().holds(start + 20ms));
+        CHECK_FALSE(coordinator.view().isValid(start + 20ms));
     }
 
     TEST_CASE("a replica of a newer term ends the view of a VM that cannot reach the store")
@@ -466,14 +466,14 @@
         auto& vm = simulation.vm(2);
         vm.storeUnreachableUntil = simulation.now + 20s;
         simulation.advance(400ms);
-        REQUIRE(vm.coordinator.view().holds(simulation.now));
+        REQUIRE(vm.coordinator.view().isValid(simulation.now));
         const UpstreamStatus newer { .term = Term { 2 } };
         vm.coordinator.onStatus(UpstreamName { "replica-1" }, newer, simulation.now, simulation.now);
-        CHECK_FALSE(vm.coordinator.view().holds(simulation.now));
+        CHECK_FALSE(vm.coordinator.view().isValid(simulation.now));
         const auto actions = vm.coordinator.tick(simulation.now);
         CHECK(std::any_of(actions.begin(), actions.end(), [&simulation](const LeadershipAction& action) {
             const auto* published = std::get_if<PublishView>(&action);
-            return published != nullptr && !published->view.holds(simulation.now);
+            return published != nullptr && !published->view.isValid(simulation.now);
         }));
     }
 
@@ -501,14 +501,14 @@
         vm.storeUnreachableUntil = simulation.now + 20s;
         vm.unreachableUpstreams = { UpstreamName { "replica-1" }, UpstreamName { "replica-2" } };
         simulation.advance(2s);
-        REQUIRE_FALSE(vm.coordinator.view().holds(simulation.now));
+        REQUIRE_FALSE(vm.coordinator.view().isValid(simulation.now));
         const auto& sibling = simulation.vm(0).coordinator;
         REQUIRE(sibling.viewConfirmedAt(simulation.now));
         vm.coordinator.onSiblingView(sibling.recordRevision() + 1, *sibling.viewConfirmedAt(simulation.now));
-        CHECK_FALSE(vm.coordinator.view().holds(simulation.now));
+        CHECK_FALSE(vm.coordinator.view().isValid(simulation.now));
         vm.coordinator.onSiblingView(sibling.recordRevision(), *sibling.viewConfirmedAt(simulation.now));
-        CHECK(vm.coordinator.view().holds(simulation.now));
-        CHECK(vm.coordinator.view().validUntil == sibling.view().validUntil);
+        CHECK(vm.coordinator.view().isValid(simulation.now));
+        CHECK(vm.coordinator.view().expiresAt == sibling.view().expiresAt);
     }
 
     TEST_CASE("a VM that relies on its siblings asks replicas itself before its view expires")
@@ -520,7 +520,7 @@
         vm.coordinator.setConfirmsForSiblings(false);
         vm.storeUnreachableUntil = simulation.now + 20s;
         simulation.advance(6s);
-        CHECK(vm.coordinator.view().holds(simulation.now));
+        CHECK(vm.coordinator.view().isValid(simulation.now));
         CHECK(vm.coordinator.counters().viewsExpired == 0);
     }
 
@@ -534,8 +534,8 @@
         CHECK(simulation.allFollowLeader());
         simulation.vm(2).unreachableUpstreams = { UpstreamName { "replica-2" } };
         simulation.advance(1500ms);
-        CHECK_FALSE(simulation.vm(2).coordinator.view().holds(simulation.now));
-        CHECK(simulation.vm(1).coordinator.view().holds(simulation.now));
+        CHECK_FALSE(simulation.vm(2).coordinator.view().isValid(simulation.now));
+        CHECK(simulation.vm(1).coordinator.view().isValid(simulation.now));
         simulation.storeDown = false;
         awaitLeader(simulation);
     }
@@ -551,7 +551,7 @@
         simulation.vm(0).frozenUntil = simulation.now + 60s;
         REQUIRE(simulation.advanceUntil(12s, [&] {
             const auto* leader = simulation.leader();
-            return leader != nullptr && simulation.vm(1).coordinator.view().holds(simulation.now);
+            return leader != nullptr && simulation.vm(1).coordinator.view().isValid(simulation.now);
         }));
         CHECK(simulation.violations.empty());
     }
@@ -665,7 +665,7 @@
         simulation.member("replica-1").running = false;
         REQUIRE(simulation.advanceUntil(20s, [&] {
             const auto* leader = simulation.leader();
-            return leader != nullptr && simulation.vm(1).coordinator.view().holds(simulation.now);
+            return leader != nullptr && simulation.vm(1).coordinator.view().isValid(simulation.now);
         }));
         CHECK(simulation.leader()->entry.name == UpstreamName { "replica-2" });
         CHECK(simulation.violations.empty());
--- a/tests/leadership/leadership_simulation.cpp
+++ b/tests/leadership/leadership_simulation.cpp
@@ -142,7 +142,7 @@
         return false;
     return std::all_of(this->vms.begin(), this->vms.end(), [&](const SimulatedVm& vm) {
         const auto view = vm.coordinator.view();
-        return view.holds(this->now) && view.primary == leader->entry.name;
+        return view.isValid(this->now) && view.primary == leader->entry.name;
     });
 }
 
@@ -151,7 +151,7 @@
     std::set<UpstreamName> primaries;
     for (const auto& vm : this->vms) {
         const auto view = vm.coordinator.view();
-        if (view.holds(this->now))
+        if (view.isValid(this->now))
             primaries.insert(view.primary);
     }
     return primaries;
@@ -365,7 +365,7 @@
         return;
     for (const auto& vm : this->vms) {
         const auto view = vm.coordinator.view();
-        const bool old = view.holds(this->now) && static_cast<std::uint64_t>(view.term) < leader->term;
+        const bool old = view.isValid(this->now) && static_cast<std::uint64_t>(view.term) < leader->term;
         if (old)
             this->violations.push_back(vm.name.string() + " may still act on term "
                 + std::to_string(static_cast<std::uint64_t>(view.term)) + " while another upstream leads");
