--- a/tests/pooling/handed_work_test.cpp
+++ b/tests/pooling/forwarded_statement_test.cpp
@@ -1,4 +1,4 @@
-#include "pool_world.h"
+#include "pool_simulation.h"
 
 #include <doctest/doctest.h>
 
