--- a/tests/pooling/contradicted_view_test.cpp
+++ b/tests/pooling/contradicted_view_test.cpp
@@ -9,59 +9,59 @@
 
 namespace {
 
-const PoolWorld::Options bounded { .freshness = BoundedStalenessRoute { 1500ms } };
+const PoolSimulation::Options boundedStaleness { .freshness = BoundedStalenessRoute { 1500ms } };
 const UpstreamName formerPrimary { "primary" };
 
 /// A database of the same upstreams whose reads see every commit.
-void addPrimaryRoute(PoolWorld& world)
+void addPrimaryRoute(PoolSimulation& simulation)
 {
-    world.routes->routes["desk"] = world.routes->routes["beds"];
-    world.routes->routes["desk"].freshness = PrimaryRoute {};
-    world.publishRoutes();
+    simulation.routes->routes["desk"] = simulation.routes->routes["beds"];
+    simulation.routes->routes["desk"].freshness = PrimaryRoute {};
+    simulation.publishRoutes();
 }
 
 /// Reads of `caller` until one ran at a replica.
-void readAtReplica(PoolWorld& world, CallerId caller)
+void readUntilServedByReplica(PoolSimulation& simulation, CallerId caller)
 {
-    const auto before = world.runs().size();
+    const auto before = simulation.executed().size();
     for (int tries = 0; tries < 8; ++tries) {
-        world.ask(caller, "b/" + std::to_string(before) + '.' + std::to_string(tries), "READ 1");
-        world.pass(40ms);
-        if (!world.runs().empty() && world.runs().back().upstream != formerPrimary)
+        simulation.submit(caller, "b/" + std::to_string(before) + '.' + std::to_string(tries), "READ 1");
+        simulation.pass(40ms);
+        if (!simulation.executed().empty() && simulation.executed().back().upstream != formerPrimary)
             break;
     }
-    REQUIRE(world.runs().size() > before);
-    REQUIRE(world.runs().back().upstream != formerPrimary);
-    world.answers(caller);
+    REQUIRE(simulation.executed().size() > before);
+    REQUIRE(simulation.executed().back().upstream != formerPrimary);
+    simulation.takeReplies(caller);
 }
 
-bool isContradicted(const PoolWorld& world)
+bool isContradicted(const PoolSimulation& simulation)
 {
-    const auto all = world.engine.evidence();
+    const auto all = simulation.engine.evidence();
     return std::any_of(
         all.begin(), all.end(), [](const UpstreamEvidence& evidence) { return evidence.contradictsView; });
 }
 
 /// Reads of `caller` until one came to an upstream of a later term.
-void seeLaterTerm(PoolWorld& world, CallerId caller)
+void readUntilLaterTermSeen(PoolSimulation& simulation, CallerId caller)
 {
-    for (int tries = 0; tries < 8 && !isContradicted(world); ++tries) {
-        world.ask(caller, "b/" + std::to_string(tries), "READ 1");
-        world.pass(40ms);
+    for (int tries = 0; tries < 8 && !isContradicted(simulation); ++tries) {
+        simulation.submit(caller, "b/" + std::to_string(tries), "READ 1");
+        simulation.pass(40ms);
     }
-    REQUIRE(isContradicted(world));
-    world.pass(100ms);
-    world.answers(caller);
+    REQUIRE(isContradicted(simulation));
+    simulation.pass(100ms);
+    simulation.takeReplies(caller);
 }
 
 /// The answer that a caller gets to what it asked within the time in which work waits for a primary.
-Reply answerSoon(PoolWorld& world, CallerId caller)
+Reply takeReplyAfterWait(PoolSimulation& simulation, CallerId caller)
 {
-    world.pass(80ms);
-    return world.answer(caller);
+    simulation.pass(80ms);
+    return simulation.takeReply(caller);
 }
 
-void checkSentAway(const Reply& reply)
+void checkRefusedWithRetryAdvice(const Reply& reply)
 {
     REQUIRE(reply.failure);
     CHECK(reply.failure->error == StatementError::Busy);
@@ -69,18 +69,18 @@
 }
 
 /// Answers the next statement with this text in the place of the upstream.
-void answerOnce(PoolWorld& world, const std::string& text, std::optional<Progress> progress,
+void replyOnce(PoolSimulation& simulation, const std::string& text, std::optional<Progress> progress,
     SessionPhase phase = SessionPhase::Idle)
 {
-    world.interfere
-        = [=, &world](const ModelConnection&, const UpstreamStatement& statement) -> std::optional<Reply> {
+    simulation.interceptStatement = [=, &simulation](const ModelConnection&,
+                                        const UpstreamStatement& statement) -> std::optional<Reply> {
         const auto* pass = std::get_if<PassStatement>(&statement);
         if (pass == nullptr || pass->text != text)
             return std::nullopt;
         std::optional reply { Reply {
             .rows = { "row" }, .proof = "proof", .phase = phase, .progress = progress } };
         // This ends what is captured here.
-        world.interfere = nullptr;
+        simulation.interceptStatement = nullptr;
         return reply;
     };
 }
@@ -98,192 +98,193 @@
     {
         // Guards against reads and writes at a former primary by a VM that has already seen the next one's
         // term.
-        PoolWorld world { bounded };
-        addPrimaryRoute(world);
-        const auto reader = world.connect();
-        const auto caller = world.connect("key-a", "desk");
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
+        PoolSimulation simulation { boundedStaleness };
+        addPrimaryRoute(simulation);
+        const auto reader = simulation.connect();
+        const auto caller = simulation.connect("key-a", "desk");
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
         for (const auto* name : { "replica-1", "replica-2" })
-            world.upstream(name).term = 2;
-        world.upstream("replica-1").primary = true;
-        seeLaterTerm(world, reader);
-        const auto before = world.runs().size();
-        world.ask(caller, "c/2", "READ 1");
-        checkSentAway(answerSoon(world, caller));
-        world.ask(caller, "c/3", "WRITE 1 x");
-        checkSentAway(answerSoon(world, caller));
-        CHECK(world.runs().size() == before);
-        world.lead("replica-1", 2);
-        CHECK_FALSE(world.run(caller, "c/4", "READ 1").failure);
-        CHECK(world.runs().back().upstream == UpstreamName { "replica-1" });
+            simulation.upstream(name).term = 2;
+        simulation.upstream("replica-1").primary = true;
+        readUntilLaterTermSeen(simulation, reader);
+        const auto before = simulation.executed().size();
+        simulation.submit(caller, "c/2", "READ 1");
+        checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+        simulation.submit(caller, "c/3", "WRITE 1 x");
+        checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+        CHECK(simulation.executed().size() == before);
+        simulation.setPrimary("replica-1", 2);
+        CHECK_FALSE(simulation.run(caller, "c/4", "READ 1").failure);
+        CHECK(simulation.executed().back().upstream == UpstreamName { "replica-1" });
     }
 
     TEST_CASE("a renewal does not bring a contradicted view back, and a later term of the same primary does")
     {
         // Guards against a view that is renewed past what was seen, and against a primary that is never used
         // again.
-        PoolWorld world { bounded };
-        addPrimaryRoute(world);
-        const auto reader = world.connect();
-        const auto caller = world.connect("key-a", "desk");
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
-        world.promote("replica-1");
-        world.promote("primary");
-        seeLaterTerm(world, reader);
-        world.setChanging();
-        world.lead("primary", 1);
-        world.ask(caller, "c/2", "WRITE 1 x");
-        checkSentAway(answerSoon(world, caller));
-        CHECK(world.timesRun("c/2") == 0);
-        world.lead("primary", 3);
-        CHECK_FALSE(world.run(caller, "c/3", "WRITE 1 x").failure);
+        PoolSimulation simulation { boundedStaleness };
+        addPrimaryRoute(simulation);
+        const auto reader = simulation.connect();
+        const auto caller = simulation.connect("key-a", "desk");
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
+        simulation.promote("replica-1");
+        simulation.promote("primary");
+        readUntilLaterTermSeen(simulation, reader);
+        simulation.setViewChanging();
+        simulation.setPrimary("primary", 1);
+        simulation.submit(caller, "c/2", "WRITE 1 x");
+        checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+        CHECK(simulation.executionCount("c/2") == 0);
+        simulation.setPrimary("primary", 3);
+        CHECK_FALSE(simulation.run(caller, "c/3", "WRITE 1 x").failure);
     }
 
     TEST_CASE("a contradiction that nothing bears out keeps a primary from its callers for seconds only")
     {
         // Guards against a VM that never serves a group again after an answer from a term that came to
         // nothing.
-        PoolWorld world { bounded };
-        addPrimaryRoute(world);
-        const auto reader = world.connect();
-        const auto caller = world.connect("key-a", "desk");
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
+        PoolSimulation simulation { boundedStaleness };
+        addPrimaryRoute(simulation);
+        const auto reader = simulation.connect();
+        const auto caller = simulation.connect("key-a", "desk");
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
         for (const auto* name : { "replica-1", "replica-2" })
-            world.upstream(name).term = 2;
-        seeLaterTerm(world, reader);
+            simulation.upstream(name).term = 2;
+        readUntilLaterTermSeen(simulation, reader);
         for (const auto* name : { "replica-1", "replica-2" })
-            world.upstream(name).term = 1;
-        world.lead("primary", 1);
-        world.ask(caller, "c/2", "WRITE 1 x");
-        checkSentAway(answerSoon(world, caller));
-        world.pass(5s);
-        world.lead("primary", 1);
-        CHECK_FALSE(world.run(caller, "c/3", "WRITE 1 x").failure);
+            simulation.upstream(name).term = 1;
+        simulation.setPrimary("primary", 1);
+        simulation.submit(caller, "c/2", "WRITE 1 x");
+        checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+        simulation.pass(5s);
+        simulation.setPrimary("primary", 1);
+        CHECK_FALSE(simulation.run(caller, "c/3", "WRITE 1 x").failure);
     }
 
     TEST_CASE("a statement is not sent on a connection whose greeting comes from a later term")
     {
         // Guards against running a statement at a former primary that has told its term when the connection
         // opened.
-        PoolWorld world { {} };
-        world.promote("replica-1");
-        const auto caller = world.connect();
-        world.ask(caller, "c/1", "READ 1");
-        checkSentAway(answerSoon(world, caller));
-        CHECK(world.timesRun("c/1") == 0);
+        PoolSimulation simulation { {} };
+        simulation.promote("replica-1");
+        const auto caller = simulation.connect();
+        simulation.submit(caller, "c/1", "READ 1");
+        checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+        CHECK(simulation.executionCount("c/1") == 0);
     }
 
     TEST_CASE("a transaction that rests on a contradicted view reads no more")
     {
         // Guards against reads on a snapshot that may have been taken when the next primary led already.
-        PoolWorld world { bounded };
-        addPrimaryRoute(world);
-        const auto reader = world.connect();
-        const auto caller = world.connect("key-a", "desk");
-        SUBCASE("one for reading") { CHECK_FALSE(world.run(caller, "c/1", "BEGIN READ").failure); }
-        SUBCASE("one for writing") { CHECK_FALSE(world.run(caller, "c/1", "BEGIN").failure); }
-        CHECK_FALSE(world.run(caller, "c/2", "READ 1").failure);
+        PoolSimulation simulation { boundedStaleness };
+        addPrimaryRoute(simulation);
+        const auto reader = simulation.connect();
+        const auto caller = simulation.connect("key-a", "desk");
+        SUBCASE("one for reading") { CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN READ").failure); }
+        SUBCASE("one for writing") { CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN").failure); }
+        CHECK_FALSE(simulation.run(caller, "c/2", "READ 1").failure);
         for (const auto* name : { "replica-1", "replica-2" })
-            world.upstream(name).term = 2;
-        seeLaterTerm(world, reader);
-        const auto reply = world.run(caller, "c/3", "READ 1");
+            simulation.upstream(name).term = 2;
+        readUntilLaterTermSeen(simulation, reader);
+        const auto reply = simulation.run(caller, "c/3", "READ 1");
         CHECK(errorOf(reply) == StatementError::Aborted);
         CHECK(reply.phase == SessionPhase::FailedTransaction);
-        CHECK(world.timesRun("c/3") == 0);
+        CHECK(simulation.executionCount("c/3") == 0);
     }
 
     TEST_CASE("a primary that refuses to act as one is not read at as one")
     {
         // Guards against reads of primary routes at an upstream that has answered READONLY under the same
         // view.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        world.upstream("primary").primary = false;
-        SUBCASE("to a write") { world.ask(caller, "c/1", "WRITE 1 x"); }
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        simulation.upstream("primary").primary = false;
+        SUBCASE("to a write") { simulation.submit(caller, "c/1", "WRITE 1 x"); }
         SUBCASE("to the opening of a transaction")
         {
-            CHECK_FALSE(world.run(caller, "c/b", "BEGIN").failure);
-            world.ask(caller, "c/1", "WRITE 1 x");
+            CHECK_FALSE(simulation.run(caller, "c/b", "BEGIN").failure);
+            simulation.submit(caller, "c/1", "WRITE 1 x");
         }
         SUBCASE("within a transaction")
         {
-            world.upstream("primary").primary = true;
-            CHECK_FALSE(world.run(caller, "c/b", "BEGIN").failure);
-            CHECK_FALSE(world.run(caller, "c/w", "WRITE 1 x").failure);
-            world.upstream("primary").primary = false;
-            world.ask(caller, "c/1", "WRITE 1 x");
+            simulation.upstream("primary").primary = true;
+            CHECK_FALSE(simulation.run(caller, "c/b", "BEGIN").failure);
+            CHECK_FALSE(simulation.run(caller, "c/w", "WRITE 1 x").failure);
+            simulation.upstream("primary").primary = false;
+            simulation.submit(caller, "c/1", "WRITE 1 x");
         }
-        world.pass(300ms);
-        CHECK(world.answer(caller).failure);
-        const auto other = world.connect();
-        world.ask(other, "o/1", "READ 1");
-        checkSentAway(answerSoon(world, other));
-        CHECK(world.timesRun("o/1") == 0);
+        simulation.pass(300ms);
+        CHECK(simulation.takeReply(caller).failure);
+        const auto other = simulation.connect();
+        simulation.submit(other, "o/1", "READ 1");
+        checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, other));
+        CHECK(simulation.executionCount("o/1") == 0);
     }
 
     TEST_CASE("a write that a transaction for reading refuses says nothing of who leads")
     {
         // Guards against one caller's mistake that would take a healthy primary out of service.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "BEGIN READ").failure);
-        CHECK_FALSE(world.run(caller, "c/2", "READ 1").failure);
-        world.interfere = [](const ModelConnection&, const UpstreamStatement& statement) {
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN READ").failure);
+        CHECK_FALSE(simulation.run(caller, "c/2", "READ 1").failure);
+        simulation.interceptStatement = [](const ModelConnection&, const UpstreamStatement& statement) {
             std::optional<Reply> refused;
             if (std::holds_alternative<PassStatement>(statement))
                 refused = Reply { .failure = StatementFailure { StatementError::ReadOnly, "no" },
                     .phase = SessionPhase::FailedTransaction };
             return refused;
         };
-        CHECK(world.run(caller, "c/3", "WRITE 1 x").failure);
-        world.interfere = nullptr;
-        const auto other = world.connect();
-        CHECK_FALSE(world.run(other, "o/1", "WRITE 1 x").failure);
+        CHECK(simulation.run(caller, "c/3", "WRITE 1 x").failure);
+        simulation.interceptStatement = nullptr;
+        const auto other = simulation.connect();
+        CHECK_FALSE(simulation.run(other, "o/1", "WRITE 1 x").failure);
     }
 
     TEST_CASE("a refusal of what was sent under an earlier view says nothing of the present one")
     {
         // Guards against a late READONLY that would take a primary out of service which leads again.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        world.holding = true;
-        world.ask(caller, "c/1", "WRITE 1 x");
-        world.lead("replica-1", 2);
-        world.upstream("primary").term = 3;
-        world.lead("primary", 3);
-        world.interfere = [&world](const ModelConnection&, const UpstreamStatement& statement) {
-            std::optional<Reply> refused;
-            if (std::holds_alternative<PassStatement>(statement)) {
-                refused = Reply { .failure = StatementFailure { StatementError::ReadOnly, "no" } };
-                world.interfere = nullptr;
-            }
-            return refused;
-        };
-        world.holding = false;
-        world.deliver();
-        world.pass(40ms);
-        CHECK_FALSE(world.answer(caller).failure);
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        simulation.holdUpstreamActions = true;
+        simulation.submit(caller, "c/1", "WRITE 1 x");
+        simulation.setPrimary("replica-1", 2);
+        simulation.upstream("primary").term = 3;
+        simulation.setPrimary("primary", 3);
+        simulation.interceptStatement
+            = [&simulation](const ModelConnection&, const UpstreamStatement& statement) {
+                  std::optional<Reply> refused;
+                  if (std::holds_alternative<PassStatement>(statement)) {
+                      refused = Reply { .failure = StatementFailure { StatementError::ReadOnly, "no" } };
+                      simulation.interceptStatement = nullptr;
+                  }
+                  return refused;
+              };
+        simulation.holdUpstreamActions = false;
+        simulation.deliverHeldActions();
+        simulation.pass(40ms);
+        CHECK_FALSE(simulation.takeReply(caller).failure);
     }
 
     TEST_CASE("the control side is told until a view comes that is not contradicted")
     {
         // Guards against a later term that is forgotten with the first new view, though that one is older
         // still.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
-        CHECK_FALSE(isContradicted(world));
-        world.promote("replica-1");
-        world.promote("replica-2");
-        world.ask(caller, "c/2", "READ 1");
-        world.pass(80ms);
-        CHECK(isContradicted(world));
-        world.lead("replica-1", 2);
-        CHECK(isContradicted(world));
-        world.lead("replica-2", 3);
-        CHECK_FALSE(isContradicted(world));
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
+        CHECK_FALSE(isContradicted(simulation));
+        simulation.promote("replica-1");
+        simulation.promote("replica-2");
+        simulation.submit(caller, "c/2", "READ 1");
+        simulation.pass(80ms);
+        CHECK(isContradicted(simulation));
+        simulation.setPrimary("replica-1", 2);
+        CHECK(isContradicted(simulation));
+        simulation.setPrimary("replica-2", 3);
+        CHECK_FALSE(isContradicted(simulation));
     }
 }
 
@@ -293,91 +294,92 @@
     {
         // Guards against the stale read at a former primary that follows the next term and lacks a commit of
         // it.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        world.promote("replica-1");
-        world.ask(caller, "c/1", "READ 1");
-        CHECK(world.answers(caller).empty());
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        simulation.promote("replica-1");
+        simulation.submit(caller, "c/1", "READ 1");
+        CHECK(simulation.takeReplies(caller).empty());
         SUBCASE("the view of the next primary comes in time")
         {
-            world.lead("replica-1", 2);
-            CHECK_FALSE(world.answer(caller).failure);
-            CHECK(world.runs().back().upstream == UpstreamName { "replica-1" });
+            simulation.setPrimary("replica-1", 2);
+            CHECK_FALSE(simulation.takeReply(caller).failure);
+            CHECK(simulation.executed().back().upstream == UpstreamName { "replica-1" });
         }
         SUBCASE("it does not")
         {
-            checkSentAway(answerSoon(world, caller));
-            CHECK(world.timesRun("c/1") == 1);
+            checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+            CHECK(simulation.executionCount("c/1") == 1);
         }
     }
 
     TEST_CASE("a read is judged by the view under which it was sent")
     {
         // Guards against a stale read whose answer comes when the view of the next term is already there.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        world.holding = true;
-        world.ask(caller, "c/1", "READ 1");
-        world.promote("replica-1");
-        world.lead("replica-1", 2);
-        world.holding = false;
-        world.deliver();
-        CHECK_FALSE(world.answer(caller).failure);
-        CHECK(world.runs().back().upstream == UpstreamName { "replica-1" });
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        simulation.holdUpstreamActions = true;
+        simulation.submit(caller, "c/1", "READ 1");
+        simulation.promote("replica-1");
+        simulation.setPrimary("replica-1", 2);
+        simulation.holdUpstreamActions = false;
+        simulation.deliverHeldActions();
+        CHECK_FALSE(simulation.takeReply(caller).failure);
+        CHECK(simulation.executed().back().upstream == UpstreamName { "replica-1" });
     }
 
     TEST_CASE("a bounded read that named no position is judged like one of a primary route")
     {
         // Guards against a bounded read at a former primary that may be behind by more than the bound.
-        PoolWorld world { bounded };
-        const auto caller = world.connect();
-        world.interfere = [&world](const ModelConnection&, const UpstreamStatement& statement) {
-            if (std::holds_alternative<PassStatement>(statement) && world.runs().empty())
-                world.promote("replica-1");
-            world.interfere = nullptr;
-            return std::optional<Reply> {};
-        };
-        world.ask(caller, "c/1", "READ 1");
-        const auto reply = answerSoon(world, caller);
-        REQUIRE_FALSE(world.runs().front().after);
-        CHECK((reply.failure || world.runs().back().after));
+        PoolSimulation simulation { boundedStaleness };
+        const auto caller = simulation.connect();
+        simulation.interceptStatement
+            = [&simulation](const ModelConnection&, const UpstreamStatement& statement) {
+                  if (std::holds_alternative<PassStatement>(statement) && simulation.executed().empty())
+                      simulation.promote("replica-1");
+                  simulation.interceptStatement = nullptr;
+                  return std::optional<Reply> {};
+              };
+        simulation.submit(caller, "c/1", "READ 1");
+        const auto reply = takeReplyAfterWait(simulation, caller);
+        REQUIRE_FALSE(simulation.executed().front().after);
+        CHECK((reply.failure || simulation.executed().back().after));
     }
 
     TEST_CASE("a bounded read that named a position is delivered whatever term answers")
     {
         // Guards against refusing reads at replicas during a failover, whose freshness rests on no view.
-        PoolWorld world { bounded };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
-        world.setChanging();
-        world.promote("replica-1");
+        PoolSimulation simulation { boundedStaleness };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
+        simulation.setViewChanging();
+        simulation.promote("replica-1");
         for (int index = 0; index < 4; ++index)
-            CHECK_FALSE(world.run(caller, "c/r" + std::to_string(index), "READ 1").failure);
+            CHECK_FALSE(simulation.run(caller, "c/r" + std::to_string(index), "READ 1").failure);
     }
 
     TEST_CASE("a transaction for reading is not opened at a former primary")
     {
         // Guards against a snapshot taken at a former primary, at which all reads of the transaction would
         // run.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        CHECK_FALSE(world.run(caller, "c/1", "BEGIN READ").failure);
-        world.promote("replica-1");
-        world.ask(caller, "c/2", "READ 1");
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN READ").failure);
+        simulation.promote("replica-1");
+        simulation.submit(caller, "c/2", "READ 1");
         SUBCASE("it waits for the view of the next primary")
         {
-            world.lead("replica-1", 2);
-            CHECK_FALSE(world.answer(caller).failure);
-            CHECK(world.runs().back().upstream == UpstreamName { "replica-1" });
-            CHECK_FALSE(world.run(caller, "c/3", "COMMIT").failure);
+            simulation.setPrimary("replica-1", 2);
+            CHECK_FALSE(simulation.takeReply(caller).failure);
+            CHECK(simulation.executed().back().upstream == UpstreamName { "replica-1" });
+            CHECK_FALSE(simulation.run(caller, "c/3", "COMMIT").failure);
         }
         SUBCASE("without one it is sent away")
         {
-            checkSentAway(answerSoon(world, caller));
-            CHECK(world.timesRun("c/2") == 0);
+            checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+            CHECK(simulation.executionCount("c/2") == 0);
         }
     }
 
@@ -385,42 +387,42 @@
     {
         // Guards against a stale read within a transaction, and against keeping what such a transaction
         // wrote.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
         SUBCASE("one for reading")
         {
-            CHECK_FALSE(world.run(caller, "c/1", "BEGIN READ").failure);
-            CHECK_FALSE(world.run(caller, "c/2", "READ 1").failure);
-            world.promote("replica-1");
+            CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN READ").failure);
+            CHECK_FALSE(simulation.run(caller, "c/2", "READ 1").failure);
+            simulation.promote("replica-1");
         }
         SUBCASE("one that has written")
         {
-            CHECK_FALSE(world.run(caller, "c/1", "BEGIN").failure);
-            CHECK_FALSE(world.run(caller, "c/2", "WRITE 1 x").failure);
-            answerOnce(world, "READ 9", at(2, 90), SessionPhase::InTransaction);
+            CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN").failure);
+            CHECK_FALSE(simulation.run(caller, "c/2", "WRITE 1 x").failure);
+            replyOnce(simulation, "READ 9", at(2, 90), SessionPhase::InTransaction);
         }
-        const auto reply = world.run(caller, "c/3", "READ 9");
+        const auto reply = simulation.run(caller, "c/3", "READ 9");
         CHECK(errorOf(reply) == StatementError::Aborted);
         CHECK(reply.phase == SessionPhase::FailedTransaction);
-        CHECK_FALSE(world.run(caller, "c/4", "ROLLBACK").failure);
-        world.pass(100ms);
-        CHECK_FALSE(world.committed("c/2"));
+        CHECK_FALSE(simulation.run(caller, "c/4", "ROLLBACK").failure);
+        simulation.pass(100ms);
+        CHECK_FALSE(simulation.committed("c/2"));
     }
 
     TEST_CASE("a transaction that named a position goes on whatever term answers")
     {
         // Guards against dropping transactions at replicas in every failover.
-        PoolWorld world { bounded };
-        const auto reader = world.connect();
-        CHECK_FALSE(world.run(reader, "r/1", "READ 1").failure);
-        readAtReplica(world, reader);
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "BEGIN READ").failure);
-        CHECK_FALSE(world.run(caller, "c/2", "READ 1").failure);
-        REQUIRE(world.runs().back().upstream != formerPrimary);
-        world.promote("replica-1");
-        CHECK_FALSE(world.run(caller, "c/3", "READ 1").failure);
-        CHECK_FALSE(world.run(caller, "c/4", "COMMIT").failure);
+        PoolSimulation simulation { boundedStaleness };
+        const auto reader = simulation.connect();
+        CHECK_FALSE(simulation.run(reader, "r/1", "READ 1").failure);
+        readUntilServedByReplica(simulation, reader);
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN READ").failure);
+        CHECK_FALSE(simulation.run(caller, "c/2", "READ 1").failure);
+        REQUIRE(simulation.executed().back().upstream != formerPrimary);
+        simulation.promote("replica-1");
+        CHECK_FALSE(simulation.run(caller, "c/3", "READ 1").failure);
+        CHECK_FALSE(simulation.run(caller, "c/4", "COMMIT").failure);
     }
 }
 
@@ -429,42 +431,42 @@
     TEST_CASE("a write that is answered from a later term is a success only once a view of that term holds")
     {
         // Guards against acknowledging a write under a view that its own answer shows to be out of date.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        answerOnce(world, "WRITE 1 x", at(3, 101));
-        world.ask(caller, "c/1", "WRITE 1 x");
-        CHECK(world.answers(caller).empty());
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        replyOnce(simulation, "WRITE 1 x", at(3, 101));
+        simulation.submit(caller, "c/1", "WRITE 1 x");
+        CHECK(simulation.takeReplies(caller).empty());
         SUBCASE("that view comes")
         {
-            world.pass(200ms);
-            world.lead("primary", 3);
-            CHECK_FALSE(world.answer(caller).failure);
+            simulation.pass(200ms);
+            simulation.setPrimary("primary", 3);
+            CHECK_FALSE(simulation.takeReply(caller).failure);
         }
         SUBCASE("another one comes")
         {
-            world.lead("replica-1", 4);
-            CHECK(errorOf(world.answer(caller)) == StatementError::InDoubt);
+            simulation.setPrimary("replica-1", 4);
+            CHECK(errorOf(simulation.takeReply(caller)) == StatementError::InDoubt);
         }
         SUBCASE("none comes")
         {
-            world.pass(900ms);
-            CHECK(errorOf(world.answer(caller)) == StatementError::InDoubt);
+            simulation.pass(900ms);
+            CHECK(errorOf(simulation.takeReply(caller)) == StatementError::InDoubt);
         }
     }
 
     TEST_CASE("a commit that is answered from a later term is held like a write")
     {
         // Guards against the same for transactions, whose commit must be in doubt and not dropped.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "BEGIN").failure);
-        CHECK_FALSE(world.run(caller, "c/2", "WRITE 1 x").failure);
-        answerOnce(world, "COMMIT", at(3, 101));
-        world.ask(caller, "c/3", "COMMIT");
-        CHECK(world.answers(caller).empty());
-        world.pass(900ms);
-        const auto reply = world.answer(caller);
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN").failure);
+        CHECK_FALSE(simulation.run(caller, "c/2", "WRITE 1 x").failure);
+        replyOnce(simulation, "COMMIT", at(3, 101));
+        simulation.submit(caller, "c/3", "COMMIT");
+        CHECK(simulation.takeReplies(caller).empty());
+        simulation.pass(900ms);
+        const auto reply = simulation.takeReply(caller);
         CHECK(errorOf(reply) == StatementError::InDoubt);
         CHECK(reply.phase == SessionPhase::Idle);
     }
@@ -472,85 +474,86 @@
     TEST_CASE("a write of an earlier term is not a success because its upstream leads once more")
     {
         // Guards against acknowledging a write that two promotions may have cut from the log in between.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        world.holding = true;
-        world.ask(caller, "c/1", "WRITE 1 x");
-        world.lead("replica-1", 2);
-        world.lead("primary", 3);
-        world.holding = false;
-        world.deliver();
-        world.pass(20ms);
-        CHECK(errorOf(world.answer(caller)) == StatementError::InDoubt);
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        simulation.holdUpstreamActions = true;
+        simulation.submit(caller, "c/1", "WRITE 1 x");
+        simulation.setPrimary("replica-1", 2);
+        simulation.setPrimary("primary", 3);
+        simulation.holdUpstreamActions = false;
+        simulation.deliverHeldActions();
+        simulation.pass(20ms);
+        CHECK(errorOf(simulation.takeReply(caller)) == StatementError::InDoubt);
     }
 
     TEST_CASE("a write that no view can confirm any more is in doubt at once")
     {
         // Guards against keeping a caller waiting for a view that cannot come.
-        PoolWorld world { {} };
-        const auto writer = world.connect();
-        const auto other = world.connect();
-        const auto askBoth = [&](const std::string& second) {
-            world.holding = true;
-            world.ask(writer, "w/" + second, "WRITE 1 x");
-            world.ask(other, "o/" + second, second);
-            world.holding = false;
+        PoolSimulation simulation { {} };
+        const auto writer = simulation.connect();
+        const auto other = simulation.connect();
+        const auto submitBoth = [&](const std::string& second) {
+            simulation.holdUpstreamActions = true;
+            simulation.submit(writer, "w/" + second, "WRITE 1 x");
+            simulation.submit(other, "o/" + second, second);
+            simulation.holdUpstreamActions = false;
         };
-        askBoth("READ 1");
-        world.deliver();
-        CHECK_FALSE(world.answer(writer).failure);
-        CHECK_FALSE(world.answer(other).failure);
-        world.renewing = false;
-        const auto answerWith = [&world](const std::string& text, const Reply& reply) {
-            world.interfere = [text, reply, before = world.interfere](
-                                  const ModelConnection& connection, const UpstreamStatement& statement) {
-                const auto* pass = std::get_if<PassStatement>(&statement);
-                if (pass != nullptr && pass->text == text)
-                    return std::optional { reply };
-                return before ? before(connection, statement) : std::nullopt;
-            };
+        submitBoth("READ 1");
+        simulation.deliverHeldActions();
+        CHECK_FALSE(simulation.takeReply(writer).failure);
+        CHECK_FALSE(simulation.takeReply(other).failure);
+        simulation.keepRenewingView = false;
+        const auto replyWith = [&simulation](const std::string& text, const Reply& reply) {
+            simulation.interceptStatement
+                = [text, reply, before = simulation.interceptStatement](
+                      const ModelConnection& connection, const UpstreamStatement& statement) {
+                      const auto* pass = std::get_if<PassStatement>(&statement);
+                      if (pass != nullptr && pass->text == text)
+                          return std::optional { reply };
+                      return before ? before(connection, statement) : std::nullopt;
+                  };
         };
         SUBCASE("as a term later than its own was seen")
         {
-            askBoth("READ 2");
-            answerWith("WRITE 1 x", { .proof = "proof", .progress = at(3, 101) });
-            answerWith("READ 2", { .proof = "proof", .progress = at(4, 101) });
+            submitBoth("READ 2");
+            replyWith("WRITE 1 x", { .proof = "proof", .progress = at(3, 101) });
+            replyWith("READ 2", { .proof = "proof", .progress = at(4, 101) });
         }
         SUBCASE("as its upstream has refused to act as the primary")
         {
-            askBoth("WRITE 2 y");
-            world.now += 1100ms;
-            answerWith("WRITE 2 y", { .failure = StatementFailure { StatementError::ReadOnly, "no" } });
+            submitBoth("WRITE 2 y");
+            simulation.now += 1100ms;
+            replyWith("WRITE 2 y", { .failure = StatementFailure { StatementError::ReadOnly, "no" } });
         }
-        world.deliver();
-        world.pass(20ms);
-        CHECK(errorOf(world.answer(writer)) == StatementError::InDoubt);
+        simulation.deliverHeldActions();
+        simulation.pass(20ms);
+        CHECK(errorOf(simulation.takeReply(writer)) == StatementError::InDoubt);
     }
 
     TEST_CASE("a write whose answer tells no position waits for the view like any other")
     {
         // Guards against a success without a view that holds, for want of a position to compare.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        world.renewing = false;
-        world.holding = true;
-        world.ask(caller, "c/1", "WRITE 1 x");
-        world.now += 1100ms;
-        world.holding = false;
-        answerOnce(world, "WRITE 1 x", std::nullopt);
-        world.deliver();
-        CHECK(world.answers(caller).empty());
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        simulation.keepRenewingView = false;
+        simulation.holdUpstreamActions = true;
+        simulation.submit(caller, "c/1", "WRITE 1 x");
+        simulation.now += 1100ms;
+        simulation.holdUpstreamActions = false;
+        replyOnce(simulation, "WRITE 1 x", std::nullopt);
+        simulation.deliverHeldActions();
+        CHECK(simulation.takeReplies(caller).empty());
         SUBCASE("it held")
         {
-            world.renewLeader();
-            CHECK_FALSE(world.answer(caller).failure);
+            simulation.renewView();
+            CHECK_FALSE(simulation.takeReply(caller).failure);
         }
         SUBCASE("another upstream leads")
         {
-            world.lead("replica-1", 2);
-            CHECK(errorOf(world.answer(caller)) == StatementError::InDoubt);
+            simulation.setPrimary("replica-1", 2);
+            CHECK(errorOf(simulation.takeReply(caller)) == StatementError::InDoubt);
         }
     }
 }
@@ -560,37 +563,37 @@
     TEST_CASE("a home does not read at its view's primary for a session that has written in a later term")
     {
         // Guards against a session that misses its own write at a home whose view is out of date.
-        PoolWorld world { { .freshness = ReadOwnWritesRoute { 2500ms } } };
-        const auto first = world.connect();
-        CHECK_FALSE(world.run(first, "f/1", "READ 1").failure);
+        PoolSimulation simulation { { .freshness = ReadOwnWritesRoute { 2500ms } } };
+        const auto first = simulation.connect();
+        CHECK_FALSE(simulation.run(first, "f/1", "READ 1").failure);
         HandedWork work { .guest = CallerId { 77 },
             .query = { .id = "g/1", .text = "READ 1", .statement = ReadItem {} },
             .team = TeamName { "a" },
-            .route = world.routes->routes.at("beds"),
+            .route = simulation.routes->routes.at("beds"),
             .floor = at(2, 101) };
-        world.engine.guestAsked(work, world.now);
-        world.pass(100ms);
-        CHECK(world.timesRun("g/1") == 0);
+        simulation.engine.guestAsked(work, simulation.now);
+        simulation.pass(100ms);
+        CHECK(simulation.executionCount("g/1") == 0);
     }
 
     TEST_CASE("what a home answers from a later term ends the view of the VM that handed it on")
     {
         // Guards against a VM that runs work itself under a view that its home has shown to be out of date.
-        PoolWorld world { { .throughHome = true } };
-        const auto caller = world.connect();
-        world.promote("replica-1");
-        world.engine.setLeader(ServiceName { "register" },
+        PoolSimulation simulation { { .forwardToOwner = true } };
+        const auto caller = simulation.connect();
+        simulation.promote("replica-1");
+        simulation.engine.setLeader(ServiceName { "register" },
             { .phase = LeaderView::Phase::Led,
                 .primary = UpstreamName { "replica-1" },
                 .term = Term { 2 },
-                .validUntil = world.now + 1s },
-            world.now);
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
-        world.failHanding = [](const HandWork&) { return std::optional { HandFailure::NotTaken }; };
-        world.renewing = false;
-        world.ask(caller, "c/2", "READ 1");
-        checkSentAway(answerSoon(world, caller));
-        CHECK(world.entry->connections() == 0);
+                .validUntil = simulation.now + 1s },
+            simulation.now);
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
+        simulation.failForwarding = [](const HandWork&) { return std::optional { HandFailure::NotTaken }; };
+        simulation.keepRenewingView = false;
+        simulation.submit(caller, "c/2", "READ 1");
+        checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+        CHECK(simulation.entry->connections() == 0);
     }
 }
 
@@ -600,28 +603,28 @@
     {
         // Guards against bounded reads at positions of a former primary, which cover no commit of the next
         // one.
-        PoolWorld world { bounded };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
-        world.promote("replica-1");
-        seeLaterTerm(world, caller);
-        const auto before = world.runs().size();
-        world.ask(caller, "c/2", "READ 1");
-        checkSentAway(answerSoon(world, caller));
-        CHECK(world.runs().size() == before);
+        PoolSimulation simulation { boundedStaleness };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
+        simulation.promote("replica-1");
+        readUntilLaterTermSeen(simulation, caller);
+        const auto before = simulation.executed().size();
+        simulation.submit(caller, "c/2", "READ 1");
+        checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+        CHECK(simulation.executed().size() == before);
     }
 
     TEST_CASE("positions noted under a view that had ended go on serving reads at replicas")
     {
         // Guards against refusing reads during every failover, from the first answer of the next term on.
-        PoolWorld world { bounded };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
-        world.setChanging();
-        world.promote("replica-1");
+        PoolSimulation simulation { boundedStaleness };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
+        simulation.setViewChanging();
+        simulation.promote("replica-1");
         for (int index = 0; index < 4; ++index) {
-            CHECK_FALSE(world.run(caller, "c/r" + std::to_string(index), "READ 1").failure);
-            CHECK(world.runs().back().after);
+            CHECK_FALSE(simulation.run(caller, "c/r" + std::to_string(index), "READ 1").failure);
+            CHECK(simulation.executed().back().after);
         }
     }
 }
--- a/tests/pooling/overload_test.cpp
+++ b/tests/pooling/overload_test.cpp
@@ -10,14 +10,15 @@
 namespace {
 
 /// One session for each of so many teams.
-std::vector<CallerId> connectTeams(PoolWorld& world, int teams)
+std::vector<CallerId> connectTeams(PoolSimulation& simulation, int teams)
 {
     for (int number = 0; number < teams; ++number)
-        world.routes->keys["key " + std::to_string(number)] = TeamName { "team-" + std::to_string(number) };
-    world.publishRoutes();
+        simulation.routes->keys["key " + std::to_string(number)]
+            = TeamName { "team-" + std::to_string(number) };
+    simulation.publishRoutes();
     std::vector<CallerId> callers;
     for (int number = 0; number < teams; ++number)
-        callers.push_back(world.connect("key " + std::to_string(number)));
+        callers.push_back(simulation.connect("key " + std::to_string(number)));
     return callers;
 }
 
@@ -30,14 +31,15 @@
         // Six VMs share 32 connections to each upstream, and all of a team's work goes to one home. That home
         // turns slow or is replaced: callers of every VM wait for it, though the VM they came to could have
         // served them by itself.
-        PoolWorld world {
-            { .connectionCap = 32, .freshness = ReadOwnWritesRoute { 2500ms }, .throughHome = true, .vms = 6 }
-        };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "WRITE 1 x").failure);
-        CHECK_FALSE(world.run(caller, "c/2", "READ 1").failure);
-        CHECK(world.handed.empty());
-        CHECK(world.entry->connections() > 0);
+        PoolSimulation simulation { { .connectionCap = 32,
+            .freshness = ReadOwnWritesRoute { 2500ms },
+            .forwardToOwner = true,
+            .vms = 6 } };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "WRITE 1 x").failure);
+        CHECK_FALSE(simulation.run(caller, "c/2", "READ 1").failure);
+        CHECK(simulation.forwarded.empty());
+        CHECK(simulation.entry->connections() > 0);
     }
 
     TEST_CASE("of a team that is over its rate the most urgent operations are let in first")
@@ -45,23 +47,25 @@
         // One team asks for several times its rate, with all kinds of operations. Each waits for the limit a
         // part of its own target, so the leisurely ones waited longest and got in, while nearly all of the
         // urgent ones were refused.
-        PoolWorld world { { .limits = { { TeamName { "a" }, { .ratePerSecond = 10, .burst = 1 } } } } };
-        world.routes->routes["history"] = world.routes->routes["beds"];
-        world.routes->routes["history"].priority = 2;
-        world.publishRoutes();
-        world.engine.setShares({ { TeamName { "a" }, { .ratePerSecond = 4, .burst = 1 } } }, world.now);
-        const auto first = world.connect("key-a", "history");
-        const auto leisurely = world.connect("key-a", "history");
-        const auto urgent = world.connect("key-a", "beds");
-        CHECK_FALSE(world.run(first, "f/1", "READ 1").failure);
-        world.ask(leisurely, "l/1", "READ 1");
-        world.ask(urgent, "u/1", "READ 1");
-        world.engine.tokensReceived(TeamName { "a" }, 1, world.now);
-        world.pass(1ms);
-        CHECK_FALSE(world.answer(urgent).failure);
-        CHECK(world.answers(leisurely).empty());
-        world.pass(60ms);
-        CHECK(errorOf(world.answer(leisurely)) == StatementError::Busy);
+        PoolSimulation simulation { { .limits
+            = { { TeamName { "a" }, { .ratePerSecond = 10, .burst = 1 } } } } };
+        simulation.routes->routes["history"] = simulation.routes->routes["beds"];
+        simulation.routes->routes["history"].priority = 2;
+        simulation.publishRoutes();
+        simulation.engine.setShares(
+            { { TeamName { "a" }, { .ratePerSecond = 4, .burst = 1 } } }, simulation.now);
+        const auto first = simulation.connect("key-a", "history");
+        const auto lowPriority = simulation.connect("key-a", "history");
+        const auto highPriority = simulation.connect("key-a", "beds");
+        CHECK_FALSE(simulation.run(first, "f/1", "READ 1").failure);
+        simulation.submit(lowPriority, "l/1", "READ 1");
+        simulation.submit(highPriority, "u/1", "READ 1");
+        simulation.engine.tokensReceived(TeamName { "a" }, 1, simulation.now);
+        simulation.pass(1ms);
+        CHECK_FALSE(simulation.takeReply(highPriority).failure);
+        CHECK(simulation.takeReplies(lowPriority).empty());
+        simulation.pass(60ms);
+        CHECK(errorOf(simulation.takeReply(lowPriority)) == StatementError::Busy);
     }
 
     TEST_CASE("a read that depends on the primary is refused at once while the primary is being replaced")
@@ -69,13 +73,13 @@
         // All VMs lose power while a primary is being replaced. The restarted ones have seen no position that
         // they could name to a replica, so no upstream may answer even a read. Held back until its target had
         // passed it would be refused all the same, with less time left for another try.
-        PoolWorld world { { .freshness = BoundedStalenessRoute { 1500ms } } };
-        world.setChanging();
-        const auto caller = world.connect();
-        const auto reply = world.run(caller, "c/1", "READ 1");
+        PoolSimulation simulation { { .freshness = BoundedStalenessRoute { 1500ms } } };
+        simulation.setViewChanging();
+        const auto caller = simulation.connect();
+        const auto reply = simulation.run(caller, "c/1", "READ 1");
         CHECK(errorOf(reply) == StatementError::Busy);
         CHECK(reply.failure->text.find("retry after") != std::string::npos);
-        CHECK(world.runs().empty());
+        CHECK(simulation.executed().empty());
     }
 
     TEST_CASE("half of a VM's connections stay unopened while idle ones can make room")
@@ -83,20 +87,20 @@
         // Eight teams ask in turn, and each gets a connection of its own. All VMs lose power: their upstream
         // takes every one of these connections for open for three seconds more and turns the restarted VMs
         // away.
-        PoolWorld world { { .replicas = 0, .connectionCap = 9 } };
-        const auto callers = connectTeams(world, 8);
+        PoolSimulation simulation { { .replicas = 0, .connectionCap = 9 } };
+        const auto callers = connectTeams(simulation, 8);
         for (std::size_t index = 0; index < callers.size(); ++index)
-            CHECK_FALSE(world.run(callers[index], std::to_string(index) + "/1", "READ 1").failure);
-        CHECK(world.openConnections() == 4);
+            CHECK_FALSE(simulation.run(callers[index], std::to_string(index) + "/1", "READ 1").failure);
+        CHECK(simulation.openConnections() == 4);
     }
 
     TEST_CASE("statements that come together get all of a VM's connections")
     {
-        PoolWorld world { { .replicas = 0, .connectionCap = 9 } };
-        const auto callers = connectTeams(world, 6);
-        world.holding = true;
+        PoolSimulation simulation { { .replicas = 0, .connectionCap = 9 } };
+        const auto callers = connectTeams(simulation, 6);
+        simulation.holdUpstreamActions = true;
         for (std::size_t index = 0; index < callers.size(); ++index)
-            world.ask(callers[index], std::to_string(index) + "/1", "READ 1");
-        CHECK(world.engine.connections() == 6);
+            simulation.submit(callers[index], std::to_string(index) + "/1", "READ 1");
+        CHECK(simulation.engine.connections() == 6);
     }
 }
--- a/tests/pooling/pool_simulation.cpp
+++ b/tests/pooling/pool_simulation.cpp
@@ -11,7 +11,7 @@
 
 const ServiceName service { "register" };
 
-CallerStatement statementOf(const std::string& text)
+CallerStatement parseStatement(const std::string& text)
 {
     std::vector<std::string> words;
     for (std::size_t from = 0; from < text.size();) {
@@ -56,7 +56,7 @@
     return reply.failure->error;
 }
 
-PoolWorld::PoolWorld(Options options)
+PoolSimulation::PoolSimulation(Options options)
     : engine({ .zone = ZoneName { "palermo" } })
 {
     for (std::size_t index = 0; index <= options.replicas; ++index) {
@@ -77,11 +77,12 @@
     this->routes->keys = { { "key-a", TeamName { "a" } }, { "key-b", TeamName { "b" } } };
     this->routes->limits = options.limits;
     this->routes->connectionCaps[service] = options.connectionCap;
-    if (options.throughHome)
+    if (options.forwardToOwner)
         this->entry = std::make_unique<SessionEngine>(
             SessionEngine::Options { .zone = ZoneName { "catania" }, .seed = 1 });
     this->publishRoutes();
-    this->forEachEngine([this](SessionEngine& one) { one.setPlace({ .vms = 1, .rank = 0 }, this->now); });
+    this->forEachEngine(
+        [this](SessionEngine& sessionEngine) { sessionEngine.setPlace({ .vms = 1, .rank = 0 }, this->now); });
     if (this->entry) {
         // The home is the only VM on the list, so that it is the home of everything.
         const auto homes = std::make_shared<GroupHomes>(
@@ -89,40 +90,41 @@
         this->entry->setPlace({ .vms = options.vms, .rank = 0, .homes = homes }, this->now);
     }
     this->publishDirectory();
-    this->lead("primary", 1);
+    this->setPrimary("primary", 1);
 }
 
-void PoolWorld::publishRoutes()
+void PoolSimulation::publishRoutes()
 {
     ++this->routes->version;
-    this->forEachEngine([this](SessionEngine& one) {
-        one.setRoutes(std::make_shared<RouteTable>(*this->routes), this->now);
+    this->forEachEngine([this](SessionEngine& sessionEngine) {
+        sessionEngine.setRoutes(std::make_shared<RouteTable>(*this->routes), this->now);
     });
 }
 
-void PoolWorld::publishDirectory()
+void PoolSimulation::publishDirectory()
 {
     UpstreamDirectory directory;
     for (const auto& [name, model] : this->upstreams)
         directory.push_back(model.entry);
-    this->forEachEngine([&](SessionEngine& one) { one.setDirectory(directory, this->now); });
-    this->perform();
+    this->forEachEngine(
+        [&](SessionEngine& sessionEngine) { sessionEngine.setDirectory(directory, this->now); });
+    this->performActions();
 }
 
-void PoolWorld::lead(const std::string& upstream, std::uint64_t term)
+void PoolSimulation::setPrimary(const std::string& upstream, std::uint64_t term)
 {
     this->view
         = { .phase = LeaderView::Phase::Led, .primary = UpstreamName { upstream }, .term = Term { term } };
-    this->renewLeader();
+    this->renewView();
 }
 
-void PoolWorld::setChanging()
+void PoolSimulation::setViewChanging()
 {
     this->view.phase = LeaderView::Phase::Changing;
-    this->renewLeader();
+    this->renewView();
 }
 
-void PoolWorld::promote(const std::string& upstream)
+void PoolSimulation::promote(const std::string& upstream)
 {
     for (auto& [name, model] : this->upstreams) {
         ++model.term;
@@ -130,208 +132,213 @@
     }
 }
 
-void PoolWorld::renewLeader()
+void PoolSimulation::renewView()
 {
     this->view.validUntil = this->now + std::chrono::seconds { 1 };
-    this->forEachEngine([this](SessionEngine& one) { one.setLeader(service, this->view, this->now); });
-    this->perform();
+    this->forEachEngine(
+        [this](SessionEngine& sessionEngine) { sessionEngine.setLeader(service, this->view, this->now); });
+    this->performActions();
 }
 
-CallerId PoolWorld::connect(const std::string& key, const std::string& database)
+CallerId PoolSimulation::connect(const std::string& key, const std::string& database)
 {
-    const CallerId caller { ++this->lastCaller };
+    const CallerId caller { ++this->lastCallerId };
     this->front().callerConnected(caller, this->now);
     this->front().callerStarted(caller, { .database = database, .key = key }, this->now);
-    this->perform();
+    this->performActions();
     return caller;
 }
 
-void PoolWorld::ask(CallerId caller, const std::string& id, const std::string& text)
+void PoolSimulation::submit(CallerId caller, const std::string& id, const std::string& text)
 {
-    this->front().callerAsked(caller, { .id = id, .text = text, .statement = statementOf(text) }, this->now);
-    this->perform();
+    this->front().callerAsked(
+        caller, { .id = id, .text = text, .statement = parseStatement(text) }, this->now);
+    this->performActions();
 }
 
-void PoolWorld::leave(CallerId caller)
+void PoolSimulation::disconnect(CallerId caller)
 {
     this->front().callerLeft(caller, this->now);
-    this->perform();
+    this->performActions();
 }
 
-std::vector<Reply> PoolWorld::answers(CallerId caller) { return std::exchange(this->replies[caller], {}); }
+std::vector<Reply> PoolSimulation::takeReplies(CallerId caller)
+{
+    return std::exchange(this->pendingReplies[caller], {});
+}
 
-Reply PoolWorld::answer(CallerId caller)
+Reply PoolSimulation::takeReply(CallerId caller)
 {
-    auto all = this->answers(caller);
+    auto all = this->takeReplies(caller);
     REQUIRE(all.size() == 1);
     return all.front();
 }
 
-Reply PoolWorld::run(CallerId caller, const std::string& id, const std::string& text)
+Reply PoolSimulation::run(CallerId caller, const std::string& id, const std::string& text)
 {
-    this->ask(caller, id, text);
-    return this->answer(caller);
+    this->submit(caller, id, text);
+    return this->takeReply(caller);
 }
 
-std::optional<StatementFailure> PoolWorld::closedWith(CallerId caller) const
+std::optional<StatementFailure> PoolSimulation::closeFailure(CallerId caller) const
 {
-    const auto match = this->closed.find(caller);
-    return match == this->closed.end() ? std::nullopt : match->second;
+    const auto match = this->closedCallers.find(caller);
+    return match == this->closedCallers.end() ? std::nullopt : match->second;
 }
 
-void PoolWorld::pass(Duration duration)
+void PoolSimulation::pass(Duration duration)
 {
     constexpr Duration step = std::chrono::milliseconds { 20 };
     for (const auto end = this->now + duration; this->now < end;) {
         this->now = std::min(this->now + step, end);
-        if (this->renewing)
-            this->renewLeader();
-        this->forEachEngine([this](SessionEngine& one) { one.tick(this->now); });
-        this->perform();
-        this->giveUpHanded();
+        if (this->keepRenewingView)
+            this->renewView();
+        this->forEachEngine([this](SessionEngine& sessionEngine) { sessionEngine.tick(this->now); });
+        this->performActions();
+        this->expirePendingForwards();
     }
 }
 
-std::size_t PoolWorld::timesRun(const std::string& id) const
+std::size_t PoolSimulation::executionCount(const std::string& id) const
 {
-    return static_cast<std::size_t>(std::count_if(
-        this->history.begin(), this->history.end(), [&id](const RunStatement& run) { return run.id == id; }));
+    return static_cast<std::size_t>(std::count_if(this->executedStatements.begin(),
+        this->executedStatements.end(), [&id](const ExecutedStatement& run) { return run.id == id; }));
 }
 
-std::vector<std::map<std::string, std::string>> PoolWorld::logged(const std::string& event) const
+std::vector<std::map<std::string, std::string>> PoolSimulation::loggedEvents(const std::string& event) const
 {
     std::vector<std::map<std::string, std::string>> found;
-    for (const auto& line : this->lines) {
+    for (const auto& line : this->logDecisions) {
         if (line.event == event)
             found.emplace_back(line.fields.begin(), line.fields.end());
     }
     return found;
 }
 
-void PoolWorld::forEachEngine(const std::function<void(SessionEngine&)>& work)
+void PoolSimulation::forEachEngine(const std::function<void(SessionEngine&)>& work)
 {
     work(this->engine);
     if (this->entry)
         work(*this->entry);
 }
 
-void PoolWorld::perform()
+void PoolSimulation::performActions()
 {
     bool more = true;
     while (more) {
-        more = this->performOf(this->engine);
-        more = (this->entry && this->performOf(*this->entry)) || more;
+        more = this->performActionsOf(this->engine);
+        more = (this->entry && this->performActionsOf(*this->entry)) || more;
     }
 }
 
-bool PoolWorld::performOf(SessionEngine& from)
+bool PoolSimulation::performActionsOf(SessionEngine& from)
 {
     const auto actions = from.takeActions();
     for (const auto& action : actions) {
         const bool toUpstream
             = std::holds_alternative<OpenConnection>(action) || std::holds_alternative<SendStatement>(action);
-        if (this->holding && toUpstream)
-            this->held.emplace_back(action, &from);
+        if (this->holdUpstreamActions && toUpstream)
+            this->heldActions.emplace_back(action, &from);
         else
-            this->carryOut(action, from);
+            this->performAction(action, from);
     }
     return !actions.empty();
 }
 
-void PoolWorld::deliver()
+void PoolSimulation::deliverHeldActions()
 {
-    for (auto actions = std::exchange(this->held, {}); !actions.empty(); actions.pop_front())
-        this->carryOut(actions.front().first, *actions.front().second);
-    this->perform();
+    for (auto actions = std::exchange(this->heldActions, {}); !actions.empty(); actions.pop_front())
+        this->performAction(actions.front().first, *actions.front().second);
+    this->performActions();
 }
 
-void PoolWorld::handOn(const HandWork& action)
+void PoolSimulation::forwardStatement(const HandWork& action)
 {
-    this->handed.push_back(action.work);
-    const auto failure = this->failHanding ? this->failHanding(action) : std::nullopt;
+    this->forwarded.push_back(action.work);
+    const auto failure = this->failForwarding ? this->failForwarding(action) : std::nullopt;
     if (failure == HandFailure::NotTaken)
         return this->entry->handedWorkFailed(action.caller, action.work.guest, *failure, this->now);
-    this->waitingForHome[action.work.guest] = { .caller = action.caller,
+    this->pendingForwards[action.work.guest] = { .caller = action.caller,
         .until = this->now + action.timeLimit,
-        .answerLost = failure == HandFailure::Lost };
-    if (this->homeUnreachable) {
-        this->underWay.push_back(action.work);
+        .replyLost = failure == HandFailure::Lost };
+    if (this->ownerUnreachable) {
+        this->undelivered.push_back(action.work);
         return;
     }
     this->engine.guestAsked(action.work, this->now);
 }
 
-void PoolWorld::deliverToHome()
+void PoolSimulation::restoreOwnerLink()
 {
-    this->homeUnreachable = false;
+    this->ownerUnreachable = false;
     // The link is closed with what the other end has given up.
-    for (const auto& work : std::exchange(this->underWay, {})) {
-        if (this->waitingForHome.contains(work.guest))
+    for (const auto& work : std::exchange(this->undelivered, {})) {
+        if (this->pendingForwards.contains(work.guest))
             this->engine.guestAsked(work, this->now);
     }
-    this->perform();
+    this->performActions();
 }
 
-void PoolWorld::answerGuest(const AnswerGuest& action)
+void PoolSimulation::replyToRemoteSession(const AnswerGuest& action)
 {
-    const auto match = this->waitingForHome.find(action.guest);
-    if (match == this->waitingForHome.end())
+    const auto match = this->pendingForwards.find(action.guest);
+    if (match == this->pendingForwards.end())
         return;
     const auto waiting = match->second;
-    this->waitingForHome.erase(match);
-    if (waiting.answerLost)
+    this->pendingForwards.erase(match);
+    if (waiting.replyLost)
         this->entry->handedWorkFailed(waiting.caller, action.guest, HandFailure::Lost, this->now);
     else
         this->entry->handedWorkAnswered(waiting.caller, action.guest, action.reply, this->now);
 }
 
-void PoolWorld::giveUpHanded()
+void PoolSimulation::expirePendingForwards()
 {
     std::vector<CallerId> overdue;
-    for (const auto& [guest, waiting] : this->waitingForHome) {
+    for (const auto& [guest, waiting] : this->pendingForwards) {
         if (this->now >= waiting.until)
             overdue.push_back(guest);
     }
     for (const auto guest : overdue) {
-        const auto waiting = this->waitingForHome.at(guest);
-        this->waitingForHome.erase(guest);
+        const auto waiting = this->pendingForwards.at(guest);
+        this->pendingForwards.erase(guest);
         this->entry->handedWorkFailed(waiting.caller, guest, HandFailure::Lost, this->now);
     }
-    this->perform();
+    this->performActions();
 }
 
-void PoolWorld::carryOut(const EngineAction& action, SessionEngine& from)
+void PoolSimulation::performAction(const EngineAction& action, SessionEngine& from)
 {
     if (const auto* open = std::get_if<OpenConnection>(&action))
         return this->open(*open, from);
     if (const auto* send = std::get_if<SendStatement>(&action))
         return this->send(*send, from);
     if (const auto* work = std::get_if<HandWork>(&action))
-        return this->handOn(*work);
+        return this->forwardStatement(*work);
     if (const auto* answered = std::get_if<AnswerGuest>(&action))
-        return this->answerGuest(*answered);
+        return this->replyToRemoteSession(*answered);
     if (const auto* asked = std::get_if<AskHome>(&action)) {
-        ++this->signsOfLifeAsked;
-        this->entry->homeAsked(asked->home, !this->homeUnreachable, this->now);
+        ++this->livenessChecks;
+        this->entry->homeAsked(asked->home, !this->ownerUnreachable, this->now);
         return;
     }
     if (const auto* gone = std::get_if<LetGuestGo>(&action)) {
-        this->letGo.push_back(gone->guest);
+        this->releasedRemoteSessions.push_back(gone->guest);
         this->engine.guestLeft(gone->guest, this->now);
     }
     if (const auto* close = std::get_if<CloseConnection>(&action))
         this->connections.erase({ &from, close->connection });
     if (const auto* answered = std::get_if<AnswerCaller>(&action))
-        this->replies[answered->caller].push_back(answered->reply);
+        this->pendingReplies[answered->caller].push_back(answered->reply);
     if (const auto* ended = std::get_if<CloseCaller>(&action))
-        this->closed[ended->caller] = ended->failure;
+        this->closedCallers[ended->caller] = ended->failure;
     if (const auto* line = std::get_if<LogDecision>(&action))
-        this->lines.push_back(*line);
+        this->logDecisions.push_back(*line);
     if (const auto* tokens = std::get_if<AskForTokens>(&action))
-        this->tokenQuestions.push_back(*tokens);
+        this->tokenRequests.push_back(*tokens);
 }
 
-void PoolWorld::open(const OpenConnection& action, SessionEngine& from)
+void PoolSimulation::open(const OpenConnection& action, SessionEngine& from)
 {
     const auto& upstream = this->upstreams.at(action.upstream.name);
     if (!upstream.reachable)
@@ -339,22 +346,22 @@
     this->connections[{ &from, action.connection }]
         = { .upstream = action.upstream.name, .team = action.team };
     from.connectionOpened(action.connection,
-        Progress { .term = Term { upstream.term }, .position = LogPosition { upstream.received } },
+        Progress { .term = Term { upstream.term }, .position = LogPosition { upstream.logPosition } },
         this->now);
 }
 
-void PoolWorld::send(const SendStatement& action, SessionEngine& from)
+void PoolSimulation::send(const SendStatement& action, SessionEngine& from)
 {
     const auto match = this->connections.find({ &from, action.connection });
     if (match == this->connections.end() || !this->upstreams.at(match->second.upstream).reachable)
         return;
     auto& connection = match->second;
     std::optional<Reply> reply;
-    if (this->interfere)
-        reply = this->interfere(connection, action.statement);
+    if (this->interceptStatement)
+        reply = this->interceptStatement(connection, action.statement);
     if (!reply)
-        reply = this->runOn(connection, action.statement);
-    if (this->loseAnswer && this->loseAnswer(action.statement)) {
+        reply = this->runOnConnection(connection, action.statement);
+    if (this->shouldLoseReply && this->shouldLoseReply(action.statement)) {
         this->connections.erase(match);
         from.connectionLost(action.connection, this->now);
         return;
@@ -362,31 +369,31 @@
     from.upstreamReplied(action.connection, *std::move(reply), this->now);
 }
 
-Reply PoolWorld::replyFrom(const ModelConnection& connection) const
+Reply PoolSimulation::replyFrom(const ModelConnection& connection) const
 {
     const auto& upstream = this->upstreams.at(connection.upstream);
     Reply reply { .proof = "proof" };
     reply.phase = connection.inTransaction ? SessionPhase::InTransaction : SessionPhase::Idle;
     reply.progress
-        = Progress { .term = Term { upstream.term }, .position = LogPosition { upstream.received } };
+        = Progress { .term = Term { upstream.term }, .position = LogPosition { upstream.logPosition } };
     return reply;
 }
 
-Reply PoolWorld::refusal(const ModelConnection& connection, StatementError error) const
+Reply PoolSimulation::refusalFrom(const ModelConnection& connection, StatementError error) const
 {
     auto reply = this->replyFrom(connection);
     reply.failure = StatementFailure { .error = error, .text = "refused" };
     return reply;
 }
 
-bool PoolWorld::lacks(const ModelUpstream& upstream, const std::optional<Progress>& after) const
+bool PoolSimulation::isBehind(const ModelUpstream& upstream, const std::optional<Progress>& after) const
 {
     return after
-        && Progress { .term = Term { upstream.term }, .position = LogPosition { upstream.received } }
+        && Progress { .term = Term { upstream.term }, .position = LogPosition { upstream.logPosition } }
         < *after;
 }
 
-Reply PoolWorld::runOn(ModelConnection& connection, const UpstreamStatement& statement)
+Reply PoolSimulation::runOnConnection(ModelConnection& connection, const UpstreamStatement& statement)
 {
     const auto& upstream = this->upstreams.at(connection.upstream);
     if (std::holds_alternative<ResetConnection>(statement)) {
@@ -399,16 +406,16 @@
     } else if (const auto* open = std::get_if<OpenTransaction>(&statement)) {
         CHECK_FALSE(connection.inTransaction);
         if (!open->readOnly && !upstream.primary)
-            return this->refusal(connection, StatementError::ReadOnly);
-        if (this->lacks(upstream, open->after))
-            return this->refusal(connection, StatementError::Lagging);
+            return this->refusalFrom(connection, StatementError::ReadOnly);
+        if (this->isBehind(upstream, open->after))
+            return this->refusalFrom(connection, StatementError::Lagging);
         connection.inTransaction = true;
         connection.readOnly = open->readOnly;
         connection.term = upstream.term;
         connection.after = open->after;
     } else if (std::holds_alternative<DropTransaction>(statement)) {
         connection.inTransaction = false;
-        connection.uncommitted.clear();
+        connection.uncommittedWrites.clear();
         connection.callersInTransaction.clear();
     } else {
         return this->pass(connection, std::get<PassStatement>(statement));
@@ -416,24 +423,24 @@
     return this->replyFrom(connection);
 }
 
-Reply PoolWorld::pass(ModelConnection& connection, const PassStatement& statement)
+Reply PoolSimulation::pass(ModelConnection& connection, const PassStatement& statement)
 {
     auto& upstream = this->upstreams.at(connection.upstream);
     const bool commits = statement.text == "COMMIT";
     const bool writes = !commits && isWrite(connection, statement);
     if (writes && !upstream.primary)
-        return this->refusal(connection, StatementError::ReadOnly);
-    const bool lostLead = !upstream.primary || upstream.term != connection.term;
-    const bool plain = connection.inTransaction && !connection.readOnly;
-    const bool keepsNothing = commits && connection.uncommitted.empty();
-    if (plain && lostLead && !keepsNothing) {
-        auto reply = this->refusal(connection, StatementError::ReadOnly);
+        return this->refusalFrom(connection, StatementError::ReadOnly);
+    const bool hasLostLeadership = !upstream.primary || upstream.term != connection.term;
+    const bool isReadWrite = connection.inTransaction && !connection.readOnly;
+    const bool hasNoWrites = commits && connection.uncommittedWrites.empty();
+    if (isReadWrite && hasLostLeadership && !hasNoWrites) {
+        auto reply = this->refusalFrom(connection, StatementError::ReadOnly);
         reply.phase = SessionPhase::FailedTransaction;
         return reply;
     }
-    if (this->lacks(upstream, statement.after))
-        return this->refusal(connection, StatementError::Lagging);
-    RunStatement run { .id = statement.id,
+    if (this->isBehind(upstream, statement.after))
+        return this->refusalFrom(connection, StatementError::Lagging);
+    ExecutedStatement run { .id = statement.id,
         .text = statement.text,
         .upstream = connection.upstream,
         .team = connection.team,
@@ -441,21 +448,21 @@
         .after = statement.after,
         .term = upstream.term,
         .atPrimary = upstream.primary,
-        .restsOnView = !(connection.inTransaction ? connection.after : statement.after) };
+        .dependsOnView = !(connection.inTransaction ? connection.after : statement.after) };
     if (statement.execute)
         run.shape = connection.prepared.at(statement.execute->name);
-    this->history.push_back(std::move(run));
+    this->executedStatements.push_back(std::move(run));
     if (writes)
-        connection.uncommitted.push_back(statement.id);
+        connection.uncommittedWrites.push_back(statement.id);
     // The part of the id before the slash names the caller.
     if (connection.inTransaction)
         connection.callersInTransaction.insert(statement.id.substr(0, statement.id.find('/')));
     CHECK(connection.callersInTransaction.size() <= 1);
     if (commits || !connection.inTransaction) {
-        for (const auto& id : connection.uncommitted)
+        for (const auto& id : connection.uncommittedWrites)
             this->commits.insert(id);
-        upstream.received += connection.uncommitted.empty() ? 0 : 1;
-        connection.uncommitted.clear();
+        upstream.logPosition += connection.uncommittedWrites.empty() ? 0 : 1;
+        connection.uncommittedWrites.clear();
         connection.callersInTransaction.clear();
         connection.inTransaction = false;
     }
--- a/tests/pooling/service_owners_test.cpp
+++ b/tests/pooling/service_owners_test.cpp
@@ -11,18 +11,18 @@
 namespace {
 
 const ServiceName service { "register" };
-constexpr std::uint32_t cap = 74;
+constexpr std::uint32_t connectionCap = 74;
 
 std::map<VmName, VmStrength> fleetOf(std::size_t vms)
 {
-    constexpr std::size_t strong = 6;
+    constexpr std::size_t strongVms = 6;
     std::map<VmName, VmStrength> listed;
     for (std::size_t index = 0; index < vms; ++index)
-        listed[VmName { "vm-" + std::to_string(index) }].cores = index < strong ? 0.5 : 0.12;
+        listed[VmName { "vm-" + std::to_string(index) }].cores = index < strongVms ? 0.5 : 0.12;
     return listed;
 }
 
-TeamName teamOf(int number) { return TeamName { "team-" + std::to_string(number) }; }
+TeamName numberedTeam(int number) { return TeamName { "team-" + std::to_string(number) }; }
 
 } // namespace
 
@@ -32,12 +32,13 @@
     {
         GroupHomes one { VmName { "vm-1" }, fleetOf(70) };
         GroupHomes other { VmName { "vm-60" }, fleetOf(70) };
-        CHECK(one.of(service, cap) == other.of(service, cap));
-        CHECK(one.of(service, cap).size() == 6);
+        CHECK(one.of(service, connectionCap) == other.of(service, connectionCap));
+        CHECK(one.of(service, connectionCap).size() == 6);
         std::set<VmName> first;
         for (int team = 0; team < 77; ++team) {
-            CHECK(one.orderFor(service, teamOf(team), cap) == other.orderFor(service, teamOf(team), cap));
-            first.insert(one.orderFor(service, teamOf(team), cap).front());
+            CHECK(one.orderFor(service, numberedTeam(team), connectionCap)
+                == other.orderFor(service, numberedTeam(team), connectionCap));
+            first.insert(one.orderFor(service, numberedTeam(team), connectionCap).front());
         }
         CHECK(first.size() == 6);
     }
@@ -48,12 +49,12 @@
         // could ask an upstream whether it is the primary.
         const auto listed = fleetOf(70);
         for (const std::uint32_t connections : { 21U, 34U, 74U, 240U }) {
-            std::size_t held = 0;
-            const auto homes = GroupHomes { VmName { "vm-0" }, listed }.of(service, connections);
-            for (const auto& vm : homes)
-                held += GroupHomes { vm, listed }.shareOf(service, connections);
-            CHECK(held <= connections - connections / 8);
-            CHECK(held >= connections / 2);
+            std::size_t allowedConnections = 0;
+            const auto owners = GroupHomes { VmName { "vm-0" }, listed }.of(service, connections);
+            for (const auto& vm : owners)
+                allowedConnections += GroupHomes { vm, listed }.shareOf(service, connections);
+            CHECK(allowedConnections <= connections - connections / 8);
+            CHECK(allowedConnections >= connections / 2);
         }
     }
 
@@ -63,32 +64,33 @@
         // at once, and each opening takes the upstream as long as a short statement.
         auto listed = fleetOf(70);
         GroupHomes before { VmName { "vm-1" }, listed };
-        const auto homes = before.of(service, cap);
-        const auto gone = homes.front();
-        listed.erase(gone);
+        const auto owners = before.of(service, connectionCap);
+        const auto removed = owners.front();
+        listed.erase(removed);
         GroupHomes after { VmName { "vm-1" }, listed };
         for (int team = 0; team < 77; ++team) {
-            const auto was = before.orderFor(service, teamOf(team), cap).front();
-            const auto now = after.orderFor(service, teamOf(team), cap).front();
-            const bool isNew = std::find(homes.begin(), homes.end(), now) == homes.end();
-            CHECK((was == now || was == gone || isNew));
+            const auto ownerBefore = before.orderFor(service, numberedTeam(team), connectionCap).front();
+            const auto ownerAfter = after.orderFor(service, numberedTeam(team), connectionCap).front();
+            const bool isNew = std::find(owners.begin(), owners.end(), ownerAfter) == owners.end();
+            CHECK((ownerBefore == ownerAfter || ownerBefore == removed || isNew));
         }
     }
 
     TEST_CASE("a VM with four times the processor is a home about four times as often")
     {
-        int strong = 0;
+        int strongVms = 0;
         int all = 0;
-        GroupHomes homes { VmName { "vm-1" }, fleetOf(70) };
+        GroupHomes owners { VmName { "vm-1" }, fleetOf(70) };
         for (int number = 0; number < 200; ++number) {
-            for (const auto& vm : homes.of(ServiceName { "service-" + std::to_string(number) }, cap)) {
+            for (const auto& vm :
+                owners.of(ServiceName { "service-" + std::to_string(number) }, connectionCap)) {
                 ++all;
-                strong += vm.view().size() == 4 && vm.view().back() < '6' ? 1 : 0;
+                strongVms += vm.view().size() == 4 && vm.view().back() < '6' ? 1 : 0;
             }
         }
         // Six of the sixteen VMs among which homes are chosen have three of their 4.2 cores.
-        CHECK(strong > all * 3 / 5);
-        CHECK(strong < all * 4 / 5);
+        CHECK(strongVms > all * 3 / 5);
+        CHECK(strongVms < all * 4 / 5);
     }
 
     TEST_CASE("each of 195 VMs speaks to a few homes, whatever services its callers use")
@@ -97,13 +99,13 @@
         std::map<VmName, VmStrength> listed;
         for (int index = 0; index < 195; ++index)
             listed[VmName { "vm-" + std::to_string(index) }].cores = index < 15 ? 0.5 : 0.12;
-        GroupHomes homes { VmName { "vm-100" }, listed };
-        std::set<VmName> spokenTo;
+        GroupHomes owners { VmName { "vm-100" }, listed };
+        std::set<VmName> contactedOwners;
         for (int number = 0; number < 20; ++number) {
-            const auto& chosen = homes.of(ServiceName { "service-" + std::to_string(number) }, 180);
-            spokenTo.insert(chosen.begin(), chosen.end());
+            const auto& selectedOwners = owners.of(ServiceName { "service-" + std::to_string(number) }, 180);
+            contactedOwners.insert(selectedOwners.begin(), selectedOwners.end());
         }
-        CHECK(spokenTo.size() <= 16);
+        CHECK(contactedOwners.size() <= 16);
     }
 
     TEST_CASE("VMs alike share the work of homes among a quarter of them")
@@ -111,12 +113,12 @@
         std::map<VmName, VmStrength> listed;
         for (int index = 0; index < 200; ++index)
             listed[VmName { "vm-" + std::to_string(index) }].cores = 0.25;
-        GroupHomes homes { VmName { "vm-100" }, listed };
-        std::set<VmName> spokenTo;
+        GroupHomes owners { VmName { "vm-100" }, listed };
+        std::set<VmName> contactedOwners;
         for (int number = 0; number < 200; ++number) {
-            const auto& chosen = homes.of(ServiceName { "service-" + std::to_string(number) }, 180);
-            spokenTo.insert(chosen.begin(), chosen.end());
+            const auto& selectedOwners = owners.of(ServiceName { "service-" + std::to_string(number) }, 180);
+            contactedOwners.insert(selectedOwners.begin(), selectedOwners.end());
         }
-        CHECK(spokenTo.size() == 50);
+        CHECK(contactedOwners.size() == 50);
     }
 }
--- a/tests/pooling/session_engine_test.cpp
+++ b/tests/pooling/session_engine_test.cpp
@@ -7,10 +7,13 @@
 
 namespace {
 
-const PoolWorld::Options ownWrites { .freshness = ReadOwnWritesRoute { 2500ms } };
-const PoolWorld::Options bounded { .freshness = BoundedStalenessRoute { 1500ms } };
+const PoolSimulation::Options readOwnWrites { .freshness = ReadOwnWritesRoute { 2500ms } };
+const PoolSimulation::Options boundedStaleness { .freshness = BoundedStalenessRoute { 1500ms } };
 
-bool isMain(const UpstreamStatement& statement) { return std::holds_alternative<PassStatement>(statement); }
+bool isCallerStatement(const UpstreamStatement& statement)
+{
+    return std::holds_alternative<PassStatement>(statement);
+}
 
 } // namespace
 
@@ -18,73 +21,75 @@
 {
     TEST_CASE("a statement goes to the upstream with its id and text, and its rows come back with the proof")
     {
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        const auto reply = world.run(caller, "c/1", "READ 1a4");
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        const auto reply = simulation.run(caller, "c/1", "READ 1a4");
         CHECK_FALSE(reply.failure);
         CHECK(reply.rows == std::vector<std::string> { "row of c/1" });
         CHECK(reply.proof == "proof");
-        REQUIRE(world.runs().size() == 1);
-        CHECK(world.runs().front().text == "READ 1a4");
-        CHECK(world.runs().front().team == TeamName { "a" });
+        REQUIRE(simulation.executed().size() == 1);
+        CHECK(simulation.executed().front().text == "READ 1a4");
+        CHECK(simulation.executed().front().team == TeamName { "a" });
     }
 
     TEST_CASE("values and prepared statements follow a session to whichever connection serves it")
     {
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        const auto other = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "SET zone palermo").failure);
-        CHECK_FALSE(world.run(caller, "c/2", "PREPARE s1 WRITE shape-of-c").failure);
-        CHECK_FALSE(world.run(other, "o/1", "PREPARE s1 READ shape-of-o").failure);
-        CHECK_FALSE(world.run(other, "o/2", "EXECUTE s1 item").failure);
-        CHECK_FALSE(world.run(caller, "c/3", "EXECUTE s1 item").failure);
-        REQUIRE(world.runs().size() == 2);
-        CHECK(world.runs()[0].shape == PreparedShape { false, "shape-of-o" });
-        CHECK(world.runs()[0].values.empty());
-        CHECK(world.runs()[1].shape == PreparedShape { true, "shape-of-c" });
-        CHECK(world.runs()[1].values == std::map<std::string, std::string> { { "zone", "palermo" } });
-        CHECK(world.openConnections() == 1);
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        const auto other = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "SET zone palermo").failure);
+        CHECK_FALSE(simulation.run(caller, "c/2", "PREPARE s1 WRITE shape-of-c").failure);
+        CHECK_FALSE(simulation.run(other, "o/1", "PREPARE s1 READ shape-of-o").failure);
+        CHECK_FALSE(simulation.run(other, "o/2", "EXECUTE s1 item").failure);
+        CHECK_FALSE(simulation.run(caller, "c/3", "EXECUTE s1 item").failure);
+        REQUIRE(simulation.executed().size() == 2);
+        CHECK(simulation.executed()[0].shape == PreparedShape { false, "shape-of-o" });
+        CHECK(simulation.executed()[0].values.empty());
+        CHECK(simulation.executed()[1].shape == PreparedShape { true, "shape-of-c" });
+        CHECK(
+            simulation.executed()[1].values == std::map<std::string, std::string> { { "zone", "palermo" } });
+        CHECK(simulation.openConnections() == 1);
     }
 
     TEST_CASE("a value that another session left on a connection is dropped before the next statement")
     {
         // Two sessions share one connection, and the first has set a value. Without a reset the second one's
         // statements would run under it: a user would read with another user's settings and see no error.
-        PoolWorld world { {} };
-        const auto first = world.connect();
-        const auto second = world.connect();
-        CHECK_FALSE(world.run(first, "f/1", "SET scope all").failure);
-        CHECK_FALSE(world.run(first, "f/2", "READ 1").failure);
-        CHECK_FALSE(world.run(second, "s/1", "READ 1").failure);
-        CHECK(world.runs()[0].values.size() == 1);
-        CHECK(world.runs()[1].values.empty());
+        PoolSimulation simulation { {} };
+        const auto first = simulation.connect();
+        const auto second = simulation.connect();
+        CHECK_FALSE(simulation.run(first, "f/1", "SET scope all").failure);
+        CHECK_FALSE(simulation.run(first, "f/2", "READ 1").failure);
+        CHECK_FALSE(simulation.run(second, "s/1", "READ 1").failure);
+        CHECK(simulation.executed()[0].values.size() == 1);
+        CHECK(simulation.executed()[1].values.empty());
     }
 
     TEST_CASE("a prepared statement whose name is not known is told so and runs nothing")
     {
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK(errorOf(world.run(caller, "c/1", "EXECUTE none item")) == StatementError::UnknownStatement);
-        CHECK_FALSE(world.run(caller, "c/2", "PREPARE s READ q").failure);
-        CHECK_FALSE(world.run(caller, "c/3", "DEALLOCATE s").failure);
-        CHECK(errorOf(world.run(caller, "c/4", "EXECUTE s item")) == StatementError::UnknownStatement);
-        CHECK(errorOf(world.run(caller, "c/5", "DEALLOCATE s")) == StatementError::UnknownStatement);
-        CHECK(world.runs().empty());
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK(
+            errorOf(simulation.run(caller, "c/1", "EXECUTE none item")) == StatementError::UnknownStatement);
+        CHECK_FALSE(simulation.run(caller, "c/2", "PREPARE s READ q").failure);
+        CHECK_FALSE(simulation.run(caller, "c/3", "DEALLOCATE s").failure);
+        CHECK(errorOf(simulation.run(caller, "c/4", "EXECUTE s item")) == StatementError::UnknownStatement);
+        CHECK(errorOf(simulation.run(caller, "c/5", "DEALLOCATE s")) == StatementError::UnknownStatement);
+        CHECK(simulation.executed().empty());
     }
 
     TEST_CASE("statements sent ahead of their answers are answered in order")
     {
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        world.holding = true;
-        world.ask(caller, "c/1", "READ 1");
-        world.ask(caller, "c/2", "SET a b");
-        world.ask(caller, "c/3", "READ 2");
-        CHECK(world.answers(caller).empty());
-        world.holding = false;
-        world.deliver();
-        const auto replies = world.answers(caller);
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        simulation.holdUpstreamActions = true;
+        simulation.submit(caller, "c/1", "READ 1");
+        simulation.submit(caller, "c/2", "SET a b");
+        simulation.submit(caller, "c/3", "READ 2");
+        CHECK(simulation.takeReplies(caller).empty());
+        simulation.holdUpstreamActions = false;
+        simulation.deliverHeldActions();
+        const auto replies = simulation.takeReplies(caller);
         REQUIRE(replies.size() == 3);
         CHECK(replies[0].rows.front() == "row of c/1");
         CHECK(replies[1].proof == "-");
@@ -93,43 +98,43 @@
 
     TEST_CASE("bad messages are told apart: no such database, no such key, an unreadable statement")
     {
-        PoolWorld world { {} };
-        const auto nowhere = world.connect("key-a", "nothing");
-        REQUIRE(world.closedWith(nowhere));
-        CHECK(world.closedWith(nowhere)->error == StatementError::UnknownDatabase);
-        const auto stranger = world.connect("key-x");
-        REQUIRE(world.closedWith(stranger));
-        CHECK(world.closedWith(stranger)->error == StatementError::UnknownKey);
-        const auto caller = world.connect();
-        CHECK(errorOf(world.run(caller, "c/1", "GRANT everything")) == StatementError::Malformed);
-        CHECK(errorOf(world.run(caller, "c/2", "COMMIT")) == StatementError::Malformed);
-        CHECK_FALSE(world.run(caller, "c/3", "READ 1").failure);
+        PoolSimulation simulation { {} };
+        const auto unknownDatabaseCaller = simulation.connect("key-a", "nothing");
+        REQUIRE(simulation.closeFailure(unknownDatabaseCaller));
+        CHECK(simulation.closeFailure(unknownDatabaseCaller)->error == StatementError::UnknownDatabase);
+        const auto unknownKeyCaller = simulation.connect("key-x");
+        REQUIRE(simulation.closeFailure(unknownKeyCaller));
+        CHECK(simulation.closeFailure(unknownKeyCaller)->error == StatementError::UnknownKey);
+        const auto caller = simulation.connect();
+        CHECK(errorOf(simulation.run(caller, "c/1", "GRANT everything")) == StatementError::Malformed);
+        CHECK(errorOf(simulation.run(caller, "c/2", "COMMIT")) == StatementError::Malformed);
+        CHECK_FALSE(simulation.run(caller, "c/3", "READ 1").failure);
     }
 
     TEST_CASE("a key that was withdrawn stops working on a session that is already open")
     {
         // An operator withdraws a key while its holder is connected. A session that only checked at its start
         // would go on reading for as long as it stays open.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
-        world.routes->keys.erase("key-a");
-        world.publishRoutes();
-        CHECK(errorOf(world.run(caller, "c/2", "READ 1")) == StatementError::UnknownKey);
-        CHECK(world.timesRun("c/2") == 0);
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
+        simulation.routes->keys.erase("key-a");
+        simulation.publishRoutes();
+        CHECK(errorOf(simulation.run(caller, "c/2", "READ 1")) == StatementError::UnknownKey);
+        CHECK(simulation.executionCount("c/2") == 0);
     }
 
     TEST_CASE("an older version of the routes never replaces a newer one")
     {
         // Two copies of the configuration arrive in the wrong order, one from a sibling that lags. Taking the
         // older one would bring a withdrawn key back to life.
-        PoolWorld world { {} };
-        auto older = std::make_shared<RouteTable>(*world.routes);
-        world.routes->version = 5;
-        world.routes->keys.erase("key-b");
-        world.engine.setRoutes(std::make_shared<RouteTable>(*world.routes), world.now);
-        world.engine.setRoutes(older, world.now);
-        CHECK(world.closedWith(world.connect("key-b")));
+        PoolSimulation simulation { {} };
+        auto older = std::make_shared<RouteTable>(*simulation.routes);
+        simulation.routes->version = 5;
+        simulation.routes->keys.erase("key-b");
+        simulation.engine.setRoutes(std::make_shared<RouteTable>(*simulation.routes), simulation.now);
+        simulation.engine.setRoutes(older, simulation.now);
+        CHECK(simulation.closeFailure(simulation.connect("key-b")));
     }
 }
 
@@ -137,123 +142,123 @@
 {
     TEST_CASE("a transaction stays on one connection, and its commit is the caller's own statement")
     {
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK(world.run(caller, "c/1", "BEGIN").phase == SessionPhase::InTransaction);
-        CHECK(world.openConnections() == 0);
-        CHECK(world.run(caller, "c/2", "WRITE 1 x").phase == SessionPhase::InTransaction);
-        CHECK_FALSE(world.committed("c/2"));
-        const auto reply = world.run(caller, "c/3", "COMMIT");
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK(simulation.run(caller, "c/1", "BEGIN").phase == SessionPhase::InTransaction);
+        CHECK(simulation.openConnections() == 0);
+        CHECK(simulation.run(caller, "c/2", "WRITE 1 x").phase == SessionPhase::InTransaction);
+        CHECK_FALSE(simulation.committed("c/2"));
+        const auto reply = simulation.run(caller, "c/3", "COMMIT");
         CHECK(reply.phase == SessionPhase::Idle);
         CHECK(reply.proof == "proof");
-        CHECK(world.committed("c/2"));
+        CHECK(simulation.committed("c/2"));
     }
 
     TEST_CASE(
         "a transaction is opened along with the values of its session, and its statement waits for both")
     {
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
-        CHECK_FALSE(world.run(caller, "c/2", "SET zone palermo").failure);
-        CHECK_FALSE(world.run(caller, "c/3", "BEGIN").failure);
-        world.holding = true;
-        world.ask(caller, "c/4", "WRITE 1 x");
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
+        CHECK_FALSE(simulation.run(caller, "c/2", "SET zone palermo").failure);
+        CHECK_FALSE(simulation.run(caller, "c/3", "BEGIN").failure);
+        simulation.holdUpstreamActions = true;
+        simulation.submit(caller, "c/4", "WRITE 1 x");
         int roundTrips = 0;
-        for (; world.timesRun("c/4") == 0 && roundTrips < 5; ++roundTrips)
-            world.deliver();
+        for (; simulation.executionCount("c/4") == 0 && roundTrips < 5; ++roundTrips)
+            simulation.deliverHeldActions();
         CHECK(roundTrips == 2);
-        CHECK_FALSE(world.answer(caller).failure);
+        CHECK_FALSE(simulation.takeReply(caller).failure);
     }
 
     TEST_CASE("a caller that leaves in the middle of a transaction leaves nothing behind")
     {
         // A client crashes between two statements. If its connection went back to the pool with the
         // transaction open, the next session's first write would commit what the crashed one had written.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        world.ask(caller, "c/1", "BEGIN");
-        world.ask(caller, "c/2", "WRITE 1 x");
-        world.leave(caller);
-        const auto next = world.connect();
-        CHECK_FALSE(world.run(next, "n/1", "WRITE 2 y").failure);
-        CHECK(world.committed("n/1"));
-        CHECK_FALSE(world.committed("c/2"));
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        simulation.submit(caller, "c/1", "BEGIN");
+        simulation.submit(caller, "c/2", "WRITE 1 x");
+        simulation.disconnect(caller);
+        const auto next = simulation.connect();
+        CHECK_FALSE(simulation.run(next, "n/1", "WRITE 2 y").failure);
+        CHECK(simulation.committed("n/1"));
+        CHECK_FALSE(simulation.committed("c/2"));
     }
 
     TEST_CASE("a caller that leaves while its transaction is being opened leaves nothing behind")
     {
         // The client goes away just as its first statement is on its way: the answer to the opening finds
         // nobody. Without the drop the connection would go back with a transaction open.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        world.ask(caller, "c/1", "BEGIN");
-        world.holding = true;
-        world.ask(caller, "c/2", "WRITE 1 x");
-        world.leave(caller);
-        world.holding = false;
-        world.deliver();
-        const auto next = world.connect();
-        CHECK_FALSE(world.run(next, "n/1", "WRITE 2 y").failure);
-        CHECK(world.committed("n/1"));
-        CHECK_FALSE(world.committed("c/2"));
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        simulation.submit(caller, "c/1", "BEGIN");
+        simulation.holdUpstreamActions = true;
+        simulation.submit(caller, "c/2", "WRITE 1 x");
+        simulation.disconnect(caller);
+        simulation.holdUpstreamActions = false;
+        simulation.deliverHeldActions();
+        const auto next = simulation.connect();
+        CHECK_FALSE(simulation.run(next, "n/1", "WRITE 2 y").failure);
+        CHECK(simulation.committed("n/1"));
+        CHECK_FALSE(simulation.committed("c/2"));
     }
 
     TEST_CASE("a transaction whose connection is lost is dropped, and the caller is told once")
     {
         // The upstream crashes between two statements of a transaction. The caller's next statement must not
         // run on another connection outside the transaction, as if nothing had happened.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        world.ask(caller, "c/1", "BEGIN");
-        world.ask(caller, "c/2", "WRITE 1 x");
-        world.answers(caller);
-        world.engine.connectionLost(ConnectionId { 1 }, world.now);
-        CHECK(errorOf(world.run(caller, "c/3", "WRITE 2 y")) == StatementError::Aborted);
-        CHECK(errorOf(world.run(caller, "c/4", "READ 2")) == StatementError::Malformed);
-        CHECK_FALSE(world.run(caller, "c/5", "ROLLBACK").failure);
-        CHECK(world.timesRun("c/3") == 0);
-        CHECK_FALSE(world.run(caller, "c/6", "READ 2").failure);
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        simulation.submit(caller, "c/1", "BEGIN");
+        simulation.submit(caller, "c/2", "WRITE 1 x");
+        simulation.takeReplies(caller);
+        simulation.engine.connectionLost(ConnectionId { 1 }, simulation.now);
+        CHECK(errorOf(simulation.run(caller, "c/3", "WRITE 2 y")) == StatementError::Aborted);
+        CHECK(errorOf(simulation.run(caller, "c/4", "READ 2")) == StatementError::Malformed);
+        CHECK_FALSE(simulation.run(caller, "c/5", "ROLLBACK").failure);
+        CHECK(simulation.executionCount("c/3") == 0);
+        CHECK_FALSE(simulation.run(caller, "c/6", "READ 2").failure);
     }
 
     TEST_CASE("a commit whose answer is lost is in doubt if it wrote, and dropped if it only read")
     {
         // The upstream commits and its answer is lost. Telling the caller that nothing was kept would make it
         // reserve the bed a second time.
-        PoolWorld world { {} };
-        const auto writer = world.connect();
-        world.ask(writer, "w/1", "BEGIN");
-        world.ask(writer, "w/2", "WRITE 1 x");
-        world.answers(writer);
-        world.loseAnswer = [](const UpstreamStatement& statement) {
-            return isMain(statement) && std::get<PassStatement>(statement).text == "COMMIT";
+        PoolSimulation simulation { {} };
+        const auto writer = simulation.connect();
+        simulation.submit(writer, "w/1", "BEGIN");
+        simulation.submit(writer, "w/2", "WRITE 1 x");
+        simulation.takeReplies(writer);
+        simulation.shouldLoseReply = [](const UpstreamStatement& statement) {
+            return isCallerStatement(statement) && std::get<PassStatement>(statement).text == "COMMIT";
         };
-        const auto reply = world.run(writer, "w/3", "COMMIT");
+        const auto reply = simulation.run(writer, "w/3", "COMMIT");
         CHECK(errorOf(reply) == StatementError::InDoubt);
         CHECK(reply.phase == SessionPhase::Idle);
-        CHECK(world.timesRun("w/3") == 1);
-        const auto reader = world.connect();
-        world.ask(reader, "r/1", "BEGIN");
-        world.ask(reader, "r/2", "READ 1");
-        world.answers(reader);
-        CHECK(errorOf(world.run(reader, "r/3", "COMMIT")) == StatementError::Aborted);
+        CHECK(simulation.executionCount("w/3") == 1);
+        const auto reader = simulation.connect();
+        simulation.submit(reader, "r/1", "BEGIN");
+        simulation.submit(reader, "r/2", "READ 1");
+        simulation.takeReplies(reader);
+        CHECK(errorOf(simulation.run(reader, "r/3", "COMMIT")) == StatementError::Aborted);
     }
 
     TEST_CASE("a transaction in which the caller rests too long is ended, and its connection serves others")
     {
         // A client opens a transaction and goes to lunch. With few connections to an upstream a handful of
         // these would stop everybody else.
-        PoolWorld world { { .connectionCap = 2 } };
-        const auto caller = world.connect();
-        world.ask(caller, "c/1", "BEGIN");
-        world.ask(caller, "c/2", "WRITE 1 x");
-        world.answers(caller);
-        world.pass(3100ms);
-        CHECK(errorOf(world.run(caller, "c/3", "WRITE 2 y")) == StatementError::Aborted);
-        CHECK_FALSE(world.committed("c/2"));
-        const auto next = world.connect();
-        CHECK_FALSE(world.run(next, "n/1", "WRITE 1 z").failure);
+        PoolSimulation simulation { { .connectionCap = 2 } };
+        const auto caller = simulation.connect();
+        simulation.submit(caller, "c/1", "BEGIN");
+        simulation.submit(caller, "c/2", "WRITE 1 x");
+        simulation.takeReplies(caller);
+        simulation.pass(3100ms);
+        CHECK(errorOf(simulation.run(caller, "c/3", "WRITE 2 y")) == StatementError::Aborted);
+        CHECK_FALSE(simulation.committed("c/2"));
+        const auto next = simulation.connect();
+        CHECK_FALSE(simulation.run(next, "n/1", "WRITE 1 z").failure);
     }
 }
 
@@ -263,57 +268,58 @@
     {
         // The upstream ran the order and the network lost the answer. Sending it again would place it twice;
         // the caller is told that nobody knows.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        world.loseAnswer = isMain;
-        CHECK(errorOf(world.run(caller, "c/1", "WRITE 1 x")) == StatementError::InDoubt);
-        CHECK(world.timesRun("c/1") == 1);
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        simulation.shouldLoseReply = isCallerStatement;
+        CHECK(errorOf(simulation.run(caller, "c/1", "WRITE 1 x")) == StatementError::InDoubt);
+        CHECK(simulation.executionCount("c/1") == 1);
     }
 
     TEST_CASE("a read whose answer is lost runs again elsewhere")
     {
-        PoolWorld world { {} };
-        const auto caller = world.connect();
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
         int lost = 0;
-        world.loseAnswer
-            = [&lost](const UpstreamStatement& statement) { return isMain(statement) && lost++ == 0; };
-        world.ask(caller, "c/1", "READ 1");
-        world.pass(300ms);
-        CHECK_FALSE(world.answer(caller).failure);
-        CHECK(world.timesRun("c/1") == 2);
+        simulation.shouldLoseReply = [&lost](const UpstreamStatement& statement) {
+            return isCallerStatement(statement) && lost++ == 0;
+        };
+        simulation.submit(caller, "c/1", "READ 1");
+        simulation.pass(300ms);
+        CHECK_FALSE(simulation.takeReply(caller).failure);
+        CHECK(simulation.executionCount("c/1") == 2);
     }
 
     TEST_CASE("a write that the upstream says it did not run is tried again")
     {
-        PoolWorld world { {} };
-        const auto caller = world.connect();
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
         int refused = 0;
-        world.interfere
+        simulation.interceptStatement
             = [&refused](const ModelConnection&, const UpstreamStatement& statement) -> std::optional<Reply> {
-            if (!isMain(statement) || refused++ > 0)
+            if (!isCallerStatement(statement) || refused++ > 0)
                 return std::nullopt;
             return Reply { .failure = StatementFailure { StatementError::Busy, "full" } };
         };
-        world.ask(caller, "c/1", "WRITE 1 x");
-        world.pass(100ms);
-        CHECK_FALSE(world.answer(caller).failure);
-        CHECK(world.timesRun("c/1") == 1);
+        simulation.submit(caller, "c/1", "WRITE 1 x");
+        simulation.pass(100ms);
+        CHECK_FALSE(simulation.takeReply(caller).failure);
+        CHECK(simulation.executionCount("c/1") == 1);
     }
 
     TEST_CASE("a statement that succeeds late has a line that tells where its time went")
     {
         // A user complains that a search took long. The lines must tell whether it waited here or there.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        CHECK(world.logged("late").empty());
-        world.holding = true;
-        world.ask(caller, "c/1", "READ 1");
-        world.now += 250ms;
-        world.holding = false;
-        world.deliver();
-        CHECK_FALSE(world.answer(caller).failure);
-        const auto lines = world.logged("late");
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        CHECK(simulation.loggedEvents("late").empty());
+        simulation.holdUpstreamActions = true;
+        simulation.submit(caller, "c/1", "READ 1");
+        simulation.now += 250ms;
+        simulation.holdUpstreamActions = false;
+        simulation.deliverHeldActions();
+        CHECK_FALSE(simulation.takeReply(caller).failure);
+        const auto lines = simulation.loggedEvents("late");
         REQUIRE(lines.size() == 1);
         CHECK(lines.front().at("id") == "c/1");
         CHECK(lines.front().at("waited_ms") == "0");
@@ -325,15 +331,15 @@
     {
         // The upstream goes dark with a write on its way. The caller must get a final answer when the
         // statement's time is over, and not be told that nothing happened.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        world.upstream("primary").reachable = false;
-        world.ask(caller, "c/1", "WRITE 1 x");
-        world.pass(980ms);
-        CHECK(world.answers(caller).empty());
-        world.pass(40ms);
-        CHECK(errorOf(world.answer(caller)) == StatementError::InDoubt);
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        simulation.upstream("primary").reachable = false;
+        simulation.submit(caller, "c/1", "WRITE 1 x");
+        simulation.pass(980ms);
+        CHECK(simulation.takeReplies(caller).empty());
+        simulation.pass(40ms);
+        CHECK(errorOf(simulation.takeReply(caller)) == StatementError::InDoubt);
     }
 }
 
@@ -341,13 +347,13 @@
 {
     TEST_CASE("a read of one's own writes names the position of the write at a replica")
     {
-        PoolWorld world { ownWrites };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "WRITE 1 x").failure);
-        const auto written = world.upstream("primary").received;
+        PoolSimulation simulation { readOwnWrites };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "WRITE 1 x").failure);
+        const auto written = simulation.upstream("primary").logPosition;
         for (int index = 0; index < 4; ++index)
-            world.ask(caller, "c/r" + std::to_string(index), "READ 1");
-        for (const auto& run : world.runs()) {
+            simulation.submit(caller, "c/r" + std::to_string(index), "READ 1");
+        for (const auto& run : simulation.executed()) {
             const bool replica = run.upstream != UpstreamName { "primary" };
             if (replica) {
                 REQUIRE(run.after);
@@ -360,17 +366,17 @@
     {
         // Replication to one replica is held up right after a write. A read there would show the bed as free
         // that the same user has just reserved.
-        PoolWorld world { ownWrites };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "WRITE 1 x").failure);
-        world.upstream("replica-2").received = 101;
+        PoolSimulation simulation { readOwnWrites };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "WRITE 1 x").failure);
+        simulation.upstream("replica-2").logPosition = 101;
         for (int index = 0; index < 10; ++index) {
             const auto id = "c/r" + std::to_string(index);
-            world.ask(caller, id, "READ 1");
-            world.pass(60ms);
-            CHECK_FALSE(world.answer(caller).failure);
+            simulation.submit(caller, id, "READ 1");
+            simulation.pass(60ms);
+            CHECK_FALSE(simulation.takeReply(caller).failure);
         }
-        for (const auto& run : world.runs())
+        for (const auto& run : simulation.executed())
             CHECK(run.upstream != UpstreamName { "replica-1" });
     }
 
@@ -378,15 +384,15 @@
     {
         // No statement has gone to the primary for longer than the bound, and a replica may have fallen
         // behind since. Reading there unchecked would show listings that are older than promised.
-        PoolWorld world { bounded };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
-        world.pass(2s);
-        CHECK_FALSE(world.run(caller, "c/2", "READ 1").failure);
-        CHECK(world.runs().back().upstream == UpstreamName { "primary" });
-        CHECK_FALSE(world.run(caller, "c/3", "READ 1").failure);
-        CHECK(world.runs().back().upstream != UpstreamName { "primary" });
-        CHECK(world.runs().back().after);
+        PoolSimulation simulation { boundedStaleness };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
+        simulation.pass(2s);
+        CHECK_FALSE(simulation.run(caller, "c/2", "READ 1").failure);
+        CHECK(simulation.executed().back().upstream == UpstreamName { "primary" });
+        CHECK_FALSE(simulation.run(caller, "c/3", "READ 1").failure);
+        CHECK(simulation.executed().back().upstream != UpstreamName { "primary" });
+        CHECK(simulation.executed().back().after);
     }
 
     TEST_CASE("without a view of the primary that holds nothing is written, and the caller is told when to "
@@ -394,17 +400,17 @@
     {
         // This VM was suspended, or cut off from store and replicas: another upstream may have been promoted
         // since. A write to the old primary would be acknowledged and lost.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "WRITE 1 x").failure);
-        world.renewing = false;
-        world.pass(1010ms);
-        world.ask(caller, "c/2", "WRITE 2 y");
-        world.pass(60ms);
-        const auto reply = world.answer(caller);
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "WRITE 1 x").failure);
+        simulation.keepRenewingView = false;
+        simulation.pass(1010ms);
+        simulation.submit(caller, "c/2", "WRITE 2 y");
+        simulation.pass(60ms);
+        const auto reply = simulation.takeReply(caller);
         CHECK(errorOf(reply) == StatementError::Busy);
         CHECK(reply.failure->text.find("retry after") != std::string::npos);
-        CHECK(world.timesRun("c/2") == 0);
+        CHECK(simulation.executionCount("c/2") == 0);
     }
 
     TEST_CASE("a write that is answered after the view has lapsed is acknowledged only once the view is "
@@ -412,26 +418,26 @@
     {
         // The answer comes late, and meanwhile another VM may have promoted a replica that lacks this write.
         // Passing the success on at once would acknowledge a write that is then lost.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        world.renewing = false;
-        world.holding = true;
-        world.ask(caller, "c/1", "WRITE 1 x");
-        world.now += 1100ms;
-        world.holding = false;
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        simulation.keepRenewingView = false;
+        simulation.holdUpstreamActions = true;
+        simulation.submit(caller, "c/1", "WRITE 1 x");
+        simulation.now += 1100ms;
+        simulation.holdUpstreamActions = false;
         SUBCASE("it held")
         {
-            world.deliver();
-            CHECK(world.answers(caller).empty());
-            world.renewLeader();
-            CHECK_FALSE(world.answer(caller).failure);
+            simulation.deliverHeldActions();
+            CHECK(simulation.takeReplies(caller).empty());
+            simulation.renewView();
+            CHECK_FALSE(simulation.takeReply(caller).failure);
         }
         SUBCASE("another upstream leads")
         {
-            world.deliver();
-            world.lead("replica-1", 2);
-            CHECK(errorOf(world.answer(caller)) == StatementError::InDoubt);
+            simulation.deliverHeldActions();
+            simulation.setPrimary("replica-1", 2);
+            CHECK(errorOf(simulation.takeReply(caller)) == StatementError::InDoubt);
         }
     }
 
@@ -439,49 +445,49 @@
     {
         // Holding writes until their time is over would only hide from callers that they should come back
         // later.
-        PoolWorld world { ownWrites };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "WRITE 1 x").failure);
-        world.upstream("replica-1").received = world.upstream("primary").received;
-        world.setChanging();
-        CHECK(errorOf(world.run(caller, "c/2", "WRITE 2 y")) == StatementError::Busy);
-        CHECK_FALSE(world.run(caller, "c/3", "READ 1").failure);
-        CHECK(world.runs().back().upstream == UpstreamName { "replica-1" });
+        PoolSimulation simulation { readOwnWrites };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "WRITE 1 x").failure);
+        simulation.upstream("replica-1").logPosition = simulation.upstream("primary").logPosition;
+        simulation.setViewChanging();
+        CHECK(errorOf(simulation.run(caller, "c/2", "WRITE 2 y")) == StatementError::Busy);
+        CHECK_FALSE(simulation.run(caller, "c/3", "READ 1").failure);
+        CHECK(simulation.executed().back().upstream == UpstreamName { "replica-1" });
     }
 
     TEST_CASE("positions of the term before do not keep reads from replicas of the new term")
     {
         // After a failover the session's last write has a position of the old term. Asking replicas for it
         // for ever would send every read of that session to the primary.
-        PoolWorld world { ownWrites };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "WRITE 1 x").failure);
+        PoolSimulation simulation { readOwnWrites };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "WRITE 1 x").failure);
         for (const auto* name : { "primary", "replica-1", "replica-2" }) {
-            world.upstream(name).term = 2;
-            world.upstream(name).received = 50;
+            simulation.upstream(name).term = 2;
+            simulation.upstream(name).logPosition = 50;
         }
-        world.upstream("primary").primary = false;
-        world.upstream("replica-1").primary = true;
-        world.lead("replica-1", 2);
-        CHECK_FALSE(world.run(caller, "c/2", "READ 1").failure);
+        simulation.upstream("primary").primary = false;
+        simulation.upstream("replica-1").primary = true;
+        simulation.setPrimary("replica-1", 2);
+        CHECK_FALSE(simulation.run(caller, "c/2", "READ 1").failure);
         bool atReplica = false;
         for (int index = 0; index < 6; ++index) {
-            CHECK_FALSE(world.run(caller, "c/r" + std::to_string(index), "READ 1").failure);
-            atReplica = atReplica || world.runs().back().upstream != UpstreamName { "replica-1" };
+            CHECK_FALSE(simulation.run(caller, "c/r" + std::to_string(index), "READ 1").failure);
+            atReplica = atReplica || simulation.executed().back().upstream != UpstreamName { "replica-1" };
         }
         CHECK(atReplica);
     }
 
     TEST_CASE("an upstream that announces its end gets no new work")
     {
-        PoolWorld world { bounded };
-        const auto caller = world.connect();
-        world.upstream("replica-1").entry.draining = true;
-        world.upstream("replica-2").entry.draining = true;
-        world.publishDirectory();
+        PoolSimulation simulation { boundedStaleness };
+        const auto caller = simulation.connect();
+        simulation.upstream("replica-1").entry.draining = true;
+        simulation.upstream("replica-2").entry.draining = true;
+        simulation.publishDirectory();
         for (int index = 0; index < 6; ++index)
-            CHECK_FALSE(world.run(caller, "c/" + std::to_string(index), "READ 1").failure);
-        for (const auto& run : world.runs())
+            CHECK_FALSE(simulation.run(caller, "c/" + std::to_string(index), "READ 1").failure);
+        for (const auto& run : simulation.executed())
             CHECK(run.upstream == UpstreamName { "primary" });
     }
 }
@@ -490,133 +496,138 @@
 {
     TEST_CASE("connections stay within this VM's share, and work beyond it waits in turn")
     {
-        PoolWorld world { { .replicas = 0, .connectionCap = 3 } };
-        world.holding = true;
+        PoolSimulation simulation { { .replicas = 0, .connectionCap = 3 } };
+        simulation.holdUpstreamActions = true;
         std::vector<CallerId> callers;
         for (int index = 0; index < 8; ++index) {
-            callers.push_back(world.connect());
-            world.ask(callers.back(), "c" + std::to_string(index) + "/1", "READ 1");
+            callers.push_back(simulation.connect());
+            simulation.submit(callers.back(), "c" + std::to_string(index) + "/1", "READ 1");
         }
-        CHECK(world.engine.connections() <= 3);
-        world.holding = false;
-        world.deliver();
+        CHECK(simulation.engine.connections() <= 3);
+        simulation.holdUpstreamActions = false;
+        simulation.deliverHeldActions();
         for (const auto caller : callers)
-            CHECK_FALSE(world.answer(caller).failure);
+            CHECK_FALSE(simulation.takeReply(caller).failure);
     }
 
     TEST_CASE(
         "a connection that is free for another team is closed and opened anew for the team that needs it")
     {
-        PoolWorld world { { .replicas = 0, .connectionCap = 2 } };
-        const auto first = world.connect("key-a");
-        const auto second = world.connect("key-b");
-        CHECK_FALSE(world.run(first, "f/1", "READ 1").failure);
-        CHECK_FALSE(world.run(second, "s/1", "READ 1").failure);
-        CHECK(world.runs()[0].team == TeamName { "a" });
-        CHECK(world.runs()[1].team == TeamName { "b" });
+        PoolSimulation simulation { { .replicas = 0, .connectionCap = 2 } };
+        const auto first = simulation.connect("key-a");
+        const auto second = simulation.connect("key-b");
+        CHECK_FALSE(simulation.run(first, "f/1", "READ 1").failure);
+        CHECK_FALSE(simulation.run(second, "s/1", "READ 1").failure);
+        CHECK(simulation.executed()[0].team == TeamName { "a" });
+        CHECK(simulation.executed()[1].team == TeamName { "b" });
     }
 
     TEST_CASE("connections that nobody uses are given back")
     {
         // All VMs lose power at once. Until their upstreams notice, the connections that were open then stay
         // taken, and the VMs come back to upstreams that are full of the dead.
-        PoolWorld world { { .replicas = 0, .connectionCap = 9 } };
-        world.holding = true;
+        PoolSimulation simulation { { .replicas = 0, .connectionCap = 9 } };
+        simulation.holdUpstreamActions = true;
         std::vector<CallerId> callers;
         for (int index = 0; index < 6; ++index) {
-            callers.push_back(world.connect());
-            world.ask(callers.back(), "c" + std::to_string(index) + "/1", "READ 1");
+            callers.push_back(simulation.connect());
+            simulation.submit(callers.back(), "c" + std::to_string(index) + "/1", "READ 1");
         }
-        world.holding = false;
-        world.deliver();
+        simulation.holdUpstreamActions = false;
+        simulation.deliverHeldActions();
         for (const auto caller : callers)
-            CHECK_FALSE(world.answer(caller).failure);
-        CHECK(world.openConnections() == 6);
-        world.pass(180ms);
-        CHECK(world.openConnections() == 6);
-        world.pass(40ms);
-        CHECK(world.openConnections() == 0);
+            CHECK_FALSE(simulation.takeReply(caller).failure);
+        CHECK(simulation.openConnections() == 6);
+        simulation.pass(180ms);
+        CHECK(simulation.openConnections() == 6);
+        simulation.pass(40ms);
+        CHECK(simulation.openConnections() == 0);
     }
 
     TEST_CASE("work that nobody can take within its target is refused, with when to come back")
     {
-        PoolWorld world { { .replicas = 0, .connectionCap = 2 } };
-        world.holding = true;
-        const auto first = world.connect();
-        const auto second = world.connect();
-        const auto third = world.connect();
-        world.ask(first, "f/1", "READ 1");
-        world.ask(second, "s/1", "READ 1");
-        world.ask(third, "t/1", "READ 1");
-        world.pass(220ms);
-        CHECK(errorOf(world.answer(third)) == StatementError::Busy);
+        PoolSimulation simulation { { .replicas = 0, .connectionCap = 2 } };
+        simulation.holdUpstreamActions = true;
+        const auto first = simulation.connect();
+        const auto second = simulation.connect();
+        const auto third = simulation.connect();
+        simulation.submit(first, "f/1", "READ 1");
+        simulation.submit(second, "s/1", "READ 1");
+        simulation.submit(third, "t/1", "READ 1");
+        simulation.pass(220ms);
+        CHECK(errorOf(simulation.takeReply(third)) == StatementError::Busy);
     }
 }
 
 TEST_SUITE("limits")
 {
-    const PoolWorld::Options limited { .limits
+    const PoolSimulation::Options limited { .limits
         = { { TeamName { "a" }, { .ratePerSecond = 10, .burst = 2 } } } };
 
     TEST_CASE(
         "an operation beyond this VM's share waits for siblings to give, and goes on with what they give")
     {
-        PoolWorld world { limited };
-        world.engine.setShares({ { TeamName { "a" }, { .ratePerSecond = 4, .burst = 1 } } }, world.now);
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
-        world.ask(caller, "c/2", "READ 1");
-        CHECK(world.answers(caller).empty());
-        REQUIRE(world.tokenQuestions.size() == 1);
-        CHECK(world.tokenQuestions.front().team == TeamName { "a" });
-        world.engine.tokensReceived(TeamName { "a" }, 1, world.now);
-        world.pass(1ms);
-        CHECK_FALSE(world.answer(caller).failure);
+        PoolSimulation simulation { limited };
+        simulation.engine.setShares(
+            { { TeamName { "a" }, { .ratePerSecond = 4, .burst = 1 } } }, simulation.now);
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
+        simulation.submit(caller, "c/2", "READ 1");
+        CHECK(simulation.takeReplies(caller).empty());
+        REQUIRE(simulation.tokenRequests.size() == 1);
+        CHECK(simulation.tokenRequests.front().team == TeamName { "a" });
+        simulation.engine.tokensReceived(TeamName { "a" }, 1, simulation.now);
+        simulation.pass(1ms);
+        CHECK_FALSE(simulation.takeReply(caller).failure);
     }
 
     TEST_CASE("a team that is over its rate everywhere is refused after a short wait and then at once")
     {
         // One team sends several times its rate. Each of its requests that waits holds nothing but costs its
         // caller time; once siblings have said that nothing is left, the answer is known.
-        PoolWorld world { limited };
-        world.engine.setShares({ { TeamName { "a" }, { .ratePerSecond = 0.1, .burst = 1 } } }, world.now);
-        const auto caller = world.connect();
-        world.ask(caller, "c/1", "READ 1");
-        world.engine.tokensReceived(TeamName { "a" }, 0, world.now);
-        world.pass(60ms);
-        CHECK(errorOf(world.answer(caller)) == StatementError::Busy);
-        world.ask(caller, "c/2", "READ 1");
-        world.engine.tokensReceived(TeamName { "a" }, 0, world.now);
-        world.pass(55ms);
-        CHECK(errorOf(world.answer(caller)) == StatementError::Busy);
-        CHECK(errorOf(world.run(caller, "c/3", "READ 1")) == StatementError::Busy);
-        CHECK(world.runs().empty());
+        PoolSimulation simulation { limited };
+        simulation.engine.setShares(
+            { { TeamName { "a" }, { .ratePerSecond = 0.1, .burst = 1 } } }, simulation.now);
+        const auto caller = simulation.connect();
+        simulation.submit(caller, "c/1", "READ 1");
+        simulation.engine.tokensReceived(TeamName { "a" }, 0, simulation.now);
+        simulation.pass(60ms);
+        CHECK(errorOf(simulation.takeReply(caller)) == StatementError::Busy);
+        simulation.submit(caller, "c/2", "READ 1");
+        simulation.engine.tokensReceived(TeamName { "a" }, 0, simulation.now);
+        simulation.pass(55ms);
+        CHECK(errorOf(simulation.takeReply(caller)) == StatementError::Busy);
+        CHECK(errorOf(simulation.run(caller, "c/3", "READ 1")) == StatementError::Busy);
+        CHECK(simulation.executed().empty());
     }
 
     TEST_CASE("an operation that no upstream has run is not counted against its team")
     {
         // Upstreams are full and callers come back, as they are told to. If each of their tries counted, a
         // team that keeps to its rate would be refused for being over it.
-        PoolWorld world { { .limits = limited.limits } };
-        world.engine.setShares({ { TeamName { "a" }, { .ratePerSecond = 0.01, .burst = 1 } } }, world.now);
-        world.engine.tokensReceived(TeamName { "a" }, 1, world.now);
-        const auto caller = world.connect();
-        world.setChanging();
+        PoolSimulation simulation { { .limits = limited.limits } };
+        simulation.engine.setShares(
+            { { TeamName { "a" }, { .ratePerSecond = 0.01, .burst = 1 } } }, simulation.now);
+        simulation.engine.tokensReceived(TeamName { "a" }, 1, simulation.now);
+        const auto caller = simulation.connect();
+        simulation.setViewChanging();
         for (int tries = 0; tries < 5; ++tries)
-            CHECK(world.run(caller, "c/" + std::to_string(tries), "WRITE 1 x").failure->text.find("replaced")
+            CHECK(simulation.run(caller, "c/" + std::to_string(tries), "WRITE 1 x")
+                      .failure->text.find("replaced")
                 != std::string::npos);
-        world.lead("primary", 1);
-        CHECK_FALSE(world.run(caller, "c/6", "WRITE 1 x").failure);
+        simulation.setPrimary("primary", 1);
+        CHECK_FALSE(simulation.run(caller, "c/6", "WRITE 1 x").failure);
     }
 
     TEST_CASE("what is given to a sibling is gone here")
     {
-        PoolWorld world { limited };
-        world.engine.setShares({ { TeamName { "a" }, { .ratePerSecond = 4, .burst = 8 } } }, world.now);
-        world.pass(2s);
-        CHECK(world.engine.giveTokens(TeamName { "a" }, 100, world.now) == 4);
-        CHECK(world.engine.giveTokens(TeamName { "a" }, 100, world.now) == 2);
-        CHECK(world.engine.giveTokens(TeamName { "none" }, 1, world.now) == 0);
+        PoolSimulation simulation { limited };
+        simulation.engine.setShares(
+            { { TeamName { "a" }, { .ratePerSecond = 4, .burst = 8 } } }, simulation.now);
+        simulation.pass(2s);
+        CHECK(simulation.engine.giveTokens(TeamName { "a" }, 100, simulation.now) == 4);
+        CHECK(simulation.engine.giveTokens(TeamName { "a" }, 100, simulation.now) == 2);
+        CHECK(simulation.engine.giveTokens(TeamName { "none" }, 1, simulation.now) == 0);
     }
 }
 
@@ -624,21 +635,21 @@
 {
     TEST_CASE("idle sessions are closed, transactions get their time, and nothing that came in is cut")
     {
-        PoolWorld world { {} };
-        const auto idle = world.connect();
-        const auto busy = world.connect();
-        world.ask(busy, "b/1", "BEGIN");
-        world.ask(busy, "b/2", "WRITE 1 x");
-        world.answers(busy);
-        world.engine.drain(world.now + 1s, world.now + 3s);
-        world.pass(500ms);
-        CHECK_FALSE(world.isClosed(idle));
-        world.pass(600ms);
-        CHECK(world.isClosed(idle));
-        CHECK_FALSE(world.closedWith(idle));
-        CHECK_FALSE(world.isClosed(busy));
-        CHECK_FALSE(world.run(busy, "b/3", "COMMIT").failure);
-        CHECK(world.committed("b/2"));
-        CHECK(world.isClosed(busy));
+        PoolSimulation simulation { {} };
+        const auto idle = simulation.connect();
+        const auto busy = simulation.connect();
+        simulation.submit(busy, "b/1", "BEGIN");
+        simulation.submit(busy, "b/2", "WRITE 1 x");
+        simulation.takeReplies(busy);
+        simulation.engine.drain(simulation.now + 1s, simulation.now + 3s);
+        simulation.pass(500ms);
+        CHECK_FALSE(simulation.isClosed(idle));
+        simulation.pass(600ms);
+        CHECK(simulation.isClosed(idle));
+        CHECK_FALSE(simulation.closeFailure(idle));
+        CHECK_FALSE(simulation.isClosed(busy));
+        CHECK_FALSE(simulation.run(busy, "b/3", "COMMIT").failure);
+        CHECK(simulation.committed("b/2"));
+        CHECK(simulation.isClosed(busy));
     }
 }
--- a/tests/pooling/session_property_test.cpp
+++ b/tests/pooling/session_property_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// What a caller of the property test has been told, and what it has set.
-struct Person {
+struct TestCaller {
     CallerId id {};
     std::string name;
     std::map<std::string, std::string> values;
@@ -22,14 +22,14 @@
     SessionPhase phase = SessionPhase::Idle;
     std::string lastId;
     /// Writes of the attempt under way, and of those that were promised to leave nothing.
-    std::vector<std::string> attempt;
+    std::vector<std::string> attemptWrites;
 };
 
 /// Plays random callers against the model with random faults.
-class Play {
+class RandomizedScenario {
 public:
     struct Options {
-        bool throughHome = false;
+        bool forwardToOwner = false;
         /// Upstreams are promoted, and the VMs' view goes on naming the former primary for a while.
         bool promotions = false;
         /// Nothing gets through to the home for a while, and what was under way arrives late.
@@ -37,125 +37,133 @@
         RouteFreshness freshness = ReadOwnWritesRoute { 2500ms };
     };
 
-    explicit Play(std::uint64_t seed, const Options& options)
+    explicit RandomizedScenario(std::uint64_t seed, const Options& options)
         : random(seed)
         , options(options)
-        , world({ .connectionCap = 4, .freshness = options.freshness, .throughHome = options.throughHome })
+        , simulation({ .connectionCap = 4,
+              .freshness = options.freshness,
+              .forwardToOwner = options.forwardToOwner })
     {
-        this->world.failHanding = [this](const HandWork&) -> std::optional<HandFailure> {
+        this->simulation.failForwarding = [this](const HandWork&) -> std::optional<HandFailure> {
             if (this->chance(20))
                 return HandFailure::NotTaken;
             return this->chance(20) ? std::optional { HandFailure::Lost } : std::nullopt;
         };
-        this->world.interfere
+        this->simulation.interceptStatement
             = [this](const ModelConnection& connection, const UpstreamStatement& statement) {
-                  return this->disturb(connection, statement);
+                  return this->injectFailure(connection, statement);
               };
-        this->world.loseAnswer = [this](const UpstreamStatement&) { return this->chance(40); };
+        this->simulation.shouldLoseReply = [this](const UpstreamStatement&) { return this->chance(40); };
         for (const auto* name : { "ada", "bea", "cai", "dan" })
-            this->people.push_back(
-                { .id = this->world.connect(this->chance(2) ? "key-a" : "key-b"), .name = name });
+            this->testCallers.push_back(
+                { .id = this->simulation.connect(this->chance(2) ? "key-a" : "key-b"), .name = name });
     }
 
     void run()
     {
         for (int step = 0; step < 150; ++step) {
-            auto& person = this->people[this->pick(this->people.size())];
-            if (!this->world.isClosed(person.id))
-                this->act(person);
+            auto& testCaller = this->testCallers[this->randomBelow(this->testCallers.size())];
+            if (!this->simulation.isClosed(testCaller.id))
+                this->submitRandomStatement(testCaller);
             if (this->chance(5))
-                this->world.pass(std::chrono::milliseconds { 20 * static_cast<int>(this->pick(5)) });
+                this->simulation.pass(
+                    std::chrono::milliseconds { 20 * static_cast<int>(this->randomBelow(5)) });
             if (this->options.promotions)
                 this->changePrimary();
             if (this->options.partitions && this->chance(12))
-                this->changeReach();
+                this->toggleOwnerReachability();
         }
-        if (this->world.homeUnreachable)
-            this->world.deliverToHome();
+        if (this->simulation.ownerUnreachable)
+            this->simulation.restoreOwnerLink();
         if (this->options.promotions)
             this->publishPrimary();
-        this->world.pass(5s);
-        for (auto& person : this->people)
-            this->listen(person);
+        this->simulation.pass(5s);
+        for (auto& testCaller : this->testCallers)
+            this->checkReplies(testCaller);
         if (this->options.promotions)
-            this->checkService();
+            this->checkServiceRestored();
     }
 
 private:
-    std::size_t pick(std::size_t count)
+    std::size_t randomBelow(std::size_t count)
     {
         return std::uniform_int_distribution<std::size_t> { 0, count - 1 }(this->random);
     }
-    bool chance(std::size_t oneIn) { return this->pick(oneIn) == 0; }
+    bool chance(std::size_t oneIn) { return this->randomBelow(oneIn) == 0; }
 
     void changePrimary()
     {
-        this->listenToAll();
+        this->checkAllReplies();
         if (this->chance(12)) {
             static const std::array names { "primary", "replica-1", "replica-2" };
-            this->leader = names.at(this->pick(names.size()));
-            this->world.promote(this->leader);
+            this->leader = names.at(this->randomBelow(names.size()));
+            this->simulation.promote(this->leader);
         }
         if (this->chance(12)) {
             this->publishPrimary();
-            this->listenToAll();
+            this->checkAllReplies();
         }
     }
 
-    void changeReach()
+    void toggleOwnerReachability()
     {
-        if (this->world.homeUnreachable)
-            this->world.deliverToHome();
+        if (this->simulation.ownerUnreachable)
+            this->simulation.restoreOwnerLink();
         else
-            this->world.homeUnreachable = true;
+            this->simulation.ownerUnreachable = true;
     }
 
-    void publishPrimary() { this->world.lead(this->leader, this->world.upstream(this->leader).term); }
+    void publishPrimary()
+    {
+        this->simulation.setPrimary(this->leader, this->simulation.upstream(this->leader).term);
+    }
 
-    void listenToAll()
+    void checkAllReplies()
     {
-        for (auto& person : this->people)
-            this->listen(person);
+        for (auto& testCaller : this->testCallers)
+            this->checkReplies(testCaller);
     }
 
     /// The group is served again once its view is right.
-    void checkService()
+    void checkServiceRestored()
     {
-        this->world.interfere = nullptr;
-        this->world.loseAnswer = nullptr;
-        this->world.failHanding = nullptr;
-        const auto caller = this->world.connect();
-        this->world.ask(caller, "eve/1", "WRITE 1 x");
-        this->world.pass(500ms);
-        RC_ASSERT(!this->world.answer(caller).failure.has_value());
+        this->simulation.interceptStatement = nullptr;
+        this->simulation.shouldLoseReply = nullptr;
+        this->simulation.failForwarding = nullptr;
+        const auto caller = this->simulation.connect();
+        this->simulation.submit(caller, "eve/1", "WRITE 1 x");
+        this->simulation.pass(500ms);
+        RC_ASSERT(!this->simulation.takeReply(caller).failure.has_value());
     }
 
     /// A success that rests on the view of the primary comes from the primary of that view.
-    void checkSuccess(const Person& person, const Reply& reply)
+    void checkSuccess(const TestCaller& testCaller, const Reply& reply)
     {
-        const auto& runs = this->world.runs();
-        const auto ran = std::find_if(runs.rbegin(), runs.rend(),
-            [&person](const RunStatement& run) { return run.id == person.lastId; });
-        if (reply.failure || reply.proof != "proof" || ran == runs.rend())
+        const auto& executed = this->simulation.executed();
+        const auto execution = std::find_if(executed.rbegin(), executed.rend(),
+            [&testCaller](const ExecutedStatement& run) { return run.id == testCaller.lastId; });
+        if (reply.failure || reply.proof != "proof" || execution == executed.rend())
             return;
-        const bool commits = ran->text == "COMMIT";
+        const bool commits = execution->text == "COMMIT";
         const bool writes
-            = std::find(person.attempt.begin(), person.attempt.end(), ran->id) != person.attempt.end();
-        if (!commits && !writes && ran->restsOnView)
-            RC_ASSERT(ran->atPrimary);
-        const bool keeps = reply.phase == SessionPhase::Idle && (commits ? !person.attempt.empty() : writes);
-        if (!keeps)
+            = std::find(testCaller.attemptWrites.begin(), testCaller.attemptWrites.end(), execution->id)
+            != testCaller.attemptWrites.end();
+        if (!commits && !writes && execution->dependsOnView)
+            RC_ASSERT(execution->atPrimary);
+        const bool keepsWrites
+            = reply.phase == SessionPhase::Idle && (commits ? !testCaller.attemptWrites.empty() : writes);
+        if (!keepsWrites)
             return;
-        RC_ASSERT(ran->upstream == this->world.leader().primary);
-        RC_ASSERT(Term { ran->term } == this->world.leader().term);
+        RC_ASSERT(execution->upstream == this->simulation.leader().primary);
+        RC_ASSERT(Term { execution->term } == this->simulation.leader().term);
     }
 
-    std::optional<Reply> disturb(const ModelConnection& connection, const UpstreamStatement& statement)
+    std::optional<Reply> injectFailure(const ModelConnection& connection, const UpstreamStatement& statement)
     {
         const auto* pass = std::get_if<PassStatement>(&statement);
         if (pass == nullptr)
             return std::nullopt;
-        this->checkPlace(connection, *pass);
+        this->checkSessionState(connection, *pass);
         if (!this->chance(12) || pass->text == "COMMIT")
             return std::nullopt;
         Reply reply { .failure = StatementFailure { StatementError::Busy, "full" } };
@@ -164,100 +172,101 @@
     }
 
     /// Wherever a statement runs, its session's values and names are in place and nobody else's.
-    void checkPlace(const ModelConnection& connection, const PassStatement& statement)
+    void checkSessionState(const ModelConnection& connection, const PassStatement& statement)
     {
         const auto name = statement.id.substr(0, statement.id.find('/'));
-        const auto person = std::find_if(this->people.begin(), this->people.end(),
-            [&name](const Person& one) { return one.name == name; });
-        RC_ASSERT(person != this->people.end());
-        RC_ASSERT(connection.values == person->values);
+        const auto testCaller = std::find_if(this->testCallers.begin(), this->testCallers.end(),
+            [&name](const TestCaller& one) { return one.name == name; });
+        RC_ASSERT(testCaller != this->testCallers.end());
+        RC_ASSERT(connection.values == testCaller->values);
         if (statement.execute) {
-            const auto wanted = statement.text.substr(8, 2);
-            RC_ASSERT(connection.prepared.at(statement.execute->name) == person->prepared.at(wanted));
+            const auto preparedName = statement.text.substr(8, 2);
+            RC_ASSERT(
+                connection.prepared.at(statement.execute->name) == testCaller->prepared.at(preparedName));
         }
     }
 
-    void act(Person& person)
+    void submitRandomStatement(TestCaller& testCaller)
     {
-        this->listen(person);
-        if (this->pending[person.name])
+        this->checkReplies(testCaller);
+        if (this->awaitsReply[testCaller.name])
             return;
-        const auto id = person.name + '/' + std::to_string(++person.statements);
-        const auto text = this->choose(person, id);
-        person.lastId = id;
-        this->pending[person.name] = true;
-        this->world.ask(person.id, id, text);
-        this->listen(person);
+        const auto id = testCaller.name + '/' + std::to_string(++testCaller.statements);
+        const auto text = this->selectStatement(testCaller, id);
+        testCaller.lastId = id;
+        this->awaitsReply[testCaller.name] = true;
+        this->simulation.submit(testCaller.id, id, text);
+        this->checkReplies(testCaller);
     }
 
-    std::string choose(Person& person, const std::string& id)
+    std::string selectStatement(TestCaller& testCaller, const std::string& id)
     {
-        if (person.phase == SessionPhase::FailedTransaction)
+        if (testCaller.phase == SessionPhase::FailedTransaction)
             return "ROLLBACK";
-        const auto letter = std::string { static_cast<char>('a' + this->pick(3)) };
-        switch (this->pick(8)) {
+        const auto letter = std::string { static_cast<char>('a' + this->randomBelow(3)) };
+        switch (this->randomBelow(8)) {
         case 0:
-            person.values[letter] = id;
+            testCaller.values[letter] = id;
             return "SET " + letter + ' ' + id;
         case 1:
-            person.prepared["s" + letter]
-                = { .writes = this->chance(2), .text = "shape" + std::to_string(this->pick(4)) };
-            return "PREPARE s" + letter + (person.prepared["s" + letter].writes ? " WRITE " : " READ ")
-                + person.prepared["s" + letter].text;
+            testCaller.prepared["s" + letter]
+                = { .writes = this->chance(2), .text = "shape" + std::to_string(this->randomBelow(4)) };
+            return "PREPARE s" + letter + (testCaller.prepared["s" + letter].writes ? " WRITE " : " READ ")
+                + testCaller.prepared["s" + letter].text;
         case 2:
-            if (person.phase == SessionPhase::Idle) {
-                person.attempt.clear();
+            if (testCaller.phase == SessionPhase::Idle) {
+                testCaller.attemptWrites.clear();
                 return this->chance(4) ? "BEGIN READ" : "BEGIN";
             }
             return this->chance(2) ? "COMMIT" : "ROLLBACK";
         case 3:
         case 4:
-            this->startAttempt(person);
-            person.attempt.push_back(id);
+            this->startAttempt(testCaller);
+            testCaller.attemptWrites.push_back(id);
             return "WRITE 1 " + id;
         case 5:
-            this->startAttempt(person);
-            if (person.prepared.contains("s" + letter)) {
-                if (person.prepared["s" + letter].writes)
-                    person.attempt.push_back(id);
+            this->startAttempt(testCaller);
+            if (testCaller.prepared.contains("s" + letter)) {
+                if (testCaller.prepared["s" + letter].writes)
+                    testCaller.attemptWrites.push_back(id);
                 return "EXECUTE s" + letter + " item";
             }
             return "READ 1";
         default:
-            this->startAttempt(person);
+            this->startAttempt(testCaller);
             return "READ 1";
         }
     }
 
-    void startAttempt(Person& person)
+    void startAttempt(TestCaller& testCaller)
     {
-        if (person.phase == SessionPhase::Idle)
-            person.attempt.clear();
+        if (testCaller.phase == SessionPhase::Idle)
+            testCaller.attemptWrites.clear();
     }
 
-    void listen(Person& person)
+    void checkReplies(TestCaller& testCaller)
     {
-        for (const auto& reply : this->world.answers(person.id)) {
-            this->pending[person.name] = false;
-            person.phase = reply.phase;
-            this->checkSuccess(person, reply);
-            const bool promised = reply.failure
+        for (const auto& reply : this->simulation.takeReplies(testCaller.id)) {
+            this->awaitsReply[testCaller.name] = false;
+            testCaller.phase = reply.phase;
+            this->checkSuccess(testCaller, reply);
+            const bool promisesNoEffect = reply.failure
                 && (meansNotRun(reply.failure->error) || reply.failure->error == StatementError::Aborted);
-            if (!promised)
+            if (!promisesNoEffect)
                 continue;
-            for (const auto& id : person.attempt)
-                RC_ASSERT(!this->world.committed(id));
+            for (const auto& id : testCaller.attemptWrites)
+                RC_ASSERT(!this->simulation.committed(id));
         }
-        for (const auto& id : person.attempt)
-            RC_ASSERT(this->world.timesRun(id) <= 1);
+        for (const auto& id : testCaller.attemptWrites)
+            RC_ASSERT(this->simulation.executionCount(id) <= 1);
     }
 
     std::mt19937_64 random;
     Options options;
-    PoolWorld world;
+    PoolSimulation simulation;
     std::string leader = "primary";
-    std::vector<Person> people;
-    std::map<std::string, bool> pending;
+    std::vector<TestCaller> testCallers;
+    std::map<std::string, bool> awaitsReply;
 };
 
 } // namespace
@@ -270,7 +279,7 @@
         // Sessions of two teams share a few connections while upstreams are full now and then and answers get
         // lost. A user would notice a mistake as another user's data, a doubled order, or an order that was
         // refused and placed.
-        checkProperty("sessions", [](std::uint64_t seed) { Play { seed, {} }.run(); });
+        checkProperty("sessions", [](std::uint64_t seed) { RandomizedScenario { seed, {} }.run(); });
     }
 
     TEST_CASE("the same holds when another VM is the home of the service and does not always answer")
@@ -279,7 +288,7 @@
         // runs a statement whose answer gets lost. Whatever the first VM says then must be true of what the
         // second one did.
         checkProperty("sessions through a home", [](std::uint64_t seed) {
-            Play { seed, { .throughHome = true } }.run();
+            RandomizedScenario { seed, { .forwardToOwner = true } }.run();
         });
     }
 
@@ -289,10 +298,12 @@
         // Guards against a statement that runs twice, or is answered with another's rows, as its home was
         // given up and ran it all the same.
         checkProperty("sessions through a home behind partitions", [](std::uint64_t seed) {
-            Play { seed, { .throughHome = true, .partitions = true } }.run();
+            RandomizedScenario { seed, { .forwardToOwner = true, .partitions = true } }.run();
         });
         checkProperty("sessions through a home behind partitions under such a view", [](std::uint64_t seed) {
-            Play { seed, { .throughHome = true, .promotions = true, .partitions = true } }.run();
+            RandomizedScenario {
+                seed, { .forwardToOwner = true, .promotions = true, .partitions = true }
+            }.run();
         });
     }
 
@@ -300,13 +311,13 @@
     {
         // Guards against stale reads and lost commits while the view names a former primary for too long.
         checkProperty("sessions under a view that is out of date", [](std::uint64_t seed) {
-            Play { seed, { .promotions = true } }.run();
+            RandomizedScenario { seed, { .promotions = true } }.run();
         });
         checkProperty("sessions of a primary route under such a view", [](std::uint64_t seed) {
-            Play { seed, { .promotions = true, .freshness = PrimaryRoute {} } }.run();
+            RandomizedScenario { seed, { .promotions = true, .freshness = PrimaryRoute {} } }.run();
         });
         checkProperty("sessions through a home under such a view", [](std::uint64_t seed) {
-            Play { seed, { .throughHome = true, .promotions = true } }.run();
+            RandomizedScenario { seed, { .forwardToOwner = true, .promotions = true } }.run();
         });
     }
 }
