--- a/tests/pooling/contradicted_view_test.cpp
+++ b/tests/pooling/contradicted_view_test.cpp
@@ -26,7 +26,7 @@
     const auto before = simulation.executed().size();
     for (int tries = 0; tries < 8; ++tries) {
         simulation.submit(caller, "b/" + std::to_string(before) + '.' + std::to_string(tries), "READ 1");
-        simulation.pass(40ms);
+        simulation.advanceTime(40ms);
         if (!simulation.executed().empty() && simulation.executed().back().upstream != formerPrimary)
             break;
     }
@@ -47,17 +47,17 @@
 {
     for (int tries = 0; tries < 8 && !isContradicted(simulation); ++tries) {
         simulation.submit(caller, "b/" + std::to_string(tries), "READ 1");
-        simulation.pass(40ms);
+        simulation.advanceTime(40ms);
     }
     REQUIRE(isContradicted(simulation));
-    simulation.pass(100ms);
+    simulation.advanceTime(100ms);
     simulation.takeReplies(caller);
 }
 
 /// The answer that a caller gets to what it asked within the time in which work waits for a primary.
 Reply takeReplyAfterWait(PoolSimulation& simulation, CallerId caller)
 {
-    simulation.pass(80ms);
+    simulation.advanceTime(80ms);
     return simulation.takeReply(caller);
 }
 
@@ -74,8 +74,8 @@
 {
     simulation.interceptStatement = [=, &simulation](const ModelConnection&,
                                         const UpstreamStatement& statement) -> std::optional<Reply> {
-        const auto* pass = std::get_if<PassStatement>(&statement);
-        if (pass == nullptr || pass->text != text)
+        const auto* callerStatement = std::get_if<PassStatement>(&statement);
+        if (callerStatement == nullptr || callerStatement->text != text)
             return std::nullopt;
         std::optional reply { Reply {
             .rows = { "row" }, .proof = "proof", .phase = phase, .progress = progress } };
@@ -85,7 +85,7 @@
     };
 }
 
-Progress at(std::uint64_t term, std::uint64_t position)
+Progress progressAt(std::uint64_t term, std::uint64_t position)
 {
     return { Term { term }, LogPosition { position } };
 }
@@ -156,7 +156,7 @@
         simulation.setPrimary("primary", 1);
         simulation.submit(caller, "c/2", "WRITE 1 x");
         checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
-        simulation.pass(5s);
+        simulation.advanceTime(5s);
         simulation.setPrimary("primary", 1);
         CHECK_FALSE(simulation.run(caller, "c/3", "WRITE 1 x").failure);
     }
@@ -214,7 +214,7 @@
             simulation.upstream("primary").primary = false;
             simulation.submit(caller, "c/1", "WRITE 1 x");
         }
-        simulation.pass(300ms);
+        simulation.advanceTime(300ms);
         CHECK(simulation.takeReply(caller).failure);
         const auto other = simulation.connect();
         simulation.submit(other, "o/1", "READ 1");
@@ -264,7 +264,7 @@
               };
         simulation.holdUpstreamActions = false;
         simulation.deliverHeldActions();
-        simulation.pass(40ms);
+        simulation.advanceTime(40ms);
         CHECK_FALSE(simulation.takeReply(caller).failure);
     }
 
@@ -279,7 +279,7 @@
         simulation.promote("replica-1");
         simulation.promote("replica-2");
         simulation.submit(caller, "c/2", "READ 1");
-        simulation.pass(80ms);
+        simulation.advanceTime(80ms);
         CHECK(isContradicted(simulation));
         simulation.setPrimary("replica-1", 2);
         CHECK(isContradicted(simulation));
@@ -399,13 +399,13 @@
         {
             CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN").failure);
             CHECK_FALSE(simulation.run(caller, "c/2", "WRITE 1 x").failure);
-            replyOnce(simulation, "READ 9", at(2, 90), SessionPhase::InTransaction);
+            replyOnce(simulation, "READ 9", progressAt(2, 90), SessionPhase::InTransaction);
         }
         const auto reply = simulation.run(caller, "c/3", "READ 9");
         CHECK(errorOf(reply) == StatementError::Aborted);
         CHECK(reply.phase == SessionPhase::FailedTransaction);
         CHECK_FALSE(simulation.run(caller, "c/4", "ROLLBACK").failure);
-        simulation.pass(100ms);
+        simulation.advanceTime(100ms);
         CHECK_FALSE(simulation.committed("c/2"));
     }
 
@@ -434,12 +434,12 @@
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
-        replyOnce(simulation, "WRITE 1 x", at(3, 101));
+        replyOnce(simulation, "WRITE 1 x", progressAt(3, 101));
         simulation.submit(caller, "c/1", "WRITE 1 x");
         CHECK(simulation.takeReplies(caller).empty());
         SUBCASE("that view comes")
         {
-            simulation.pass(200ms);
+            simulation.advanceTime(200ms);
             simulation.setPrimary("primary", 3);
             CHECK_FALSE(simulation.takeReply(caller).failure);
         }
@@ -450,7 +450,7 @@
         }
         SUBCASE("none comes")
         {
-            simulation.pass(900ms);
+            simulation.advanceTime(900ms);
             CHECK(errorOf(simulation.takeReply(caller)) == StatementError::InDoubt);
         }
     }
@@ -462,10 +462,10 @@
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN").failure);
         CHECK_FALSE(simulation.run(caller, "c/2", "WRITE 1 x").failure);
-        replyOnce(simulation, "COMMIT", at(3, 101));
+        replyOnce(simulation, "COMMIT", progressAt(3, 101));
         simulation.submit(caller, "c/3", "COMMIT");
         CHECK(simulation.takeReplies(caller).empty());
-        simulation.pass(900ms);
+        simulation.advanceTime(900ms);
         const auto reply = simulation.takeReply(caller);
         CHECK(errorOf(reply) == StatementError::InDoubt);
         CHECK(reply.phase == SessionPhase::Idle);
@@ -483,7 +483,7 @@
         simulation.setPrimary("primary", 3);
         simulation.holdUpstreamActions = false;
         simulation.deliverHeldActions();
-        simulation.pass(20ms);
+        simulation.advanceTime(20ms);
         CHECK(errorOf(simulation.takeReply(caller)) == StatementError::InDoubt);
     }
 
@@ -508,8 +508,8 @@
             simulation.interceptStatement
                 = [text, reply, before = simulation.interceptStatement](
                       const ModelConnection& connection, const UpstreamStatement& statement) {
-                      const auto* pass = std::get_if<PassStatement>(&statement);
-                      if (pass != nullptr && pass->text == text)
+                      const auto* callerStatement = std::get_if<PassStatement>(&statement);
+                      if (callerStatement != nullptr && callerStatement->text == text)
                           return std::optional { reply };
                       return before ? before(connection, statement) : std::nullopt;
                   };
@@ -517,8 +517,8 @@
         SUBCASE("as a term later than its own was seen")
         {
             submitBoth("READ 2");
-            replyWith("WRITE 1 x", { .proof = "proof", .progress = at(3, 101) });
-            replyWith("READ 2", { .proof = "proof", .progress = at(4, 101) });
+            replyWith("WRITE 1 x", { .proof = "proof", .progress = progressAt(3, 101) });
+            replyWith("READ 2", { .proof = "proof", .progress = progressAt(4, 101) });
         }
         SUBCASE("as its upstream has refused to act as the primary")
         {
@@ -527,7 +527,7 @@
             replyWith("WRITE 2 y", { .failure = StatementFailure { StatementError::ReadOnly, "no" } });
         }
         simulation.deliverHeldActions();
-        simulation.pass(20ms);
+        simulation.advanceTime(20ms);
         CHECK(errorOf(simulation.takeReply(writer)) == StatementError::InDoubt);
     }
 
@@ -570,9 +570,9 @@
             .query = { .id = "g/1", .text = "READ 1", .statement = ReadItem {} },
             .team = TeamName { "a" },
             .route = simulation.routes->routes.at("beds"),
-            .floor = at(2, 101) };
+            .floor = progressAt(2, 101) };
         simulation.engine.guestAsked(work, simulation.now);
-        simulation.pass(100ms);
+        simulation.advanceTime(100ms);
         CHECK(simulation.executionCount("g/1") == 0);
     }
 
@@ -593,7 +593,7 @@
         simulation.keepRenewingView = false;
         simulation.submit(caller, "c/2", "READ 1");
         checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
-        CHECK(simulation.entry->connections() == 0);
+        CHECK(simulation.entryEngine->connections() == 0);
     }
 }
 
--- a/tests/pooling/forwarded_statement_test.cpp
+++ b/tests/pooling/forwarded_statement_test.cpp
@@ -37,7 +37,7 @@
         CHECK(simulation.executed()[0].shape == PreparedShape { true, "shape" });
         CHECK(simulation.executed()[0].values.at("zone") == "palermo");
         CHECK(simulation.forwarded.size() == 1);
-        CHECK(simulation.entry->connections() == 0);
+        CHECK(simulation.entryEngine->connections() == 0);
         CHECK(simulation.engine.callers() == 0);
     }
 
@@ -95,10 +95,10 @@
         failOnce(simulation, HandFailure::NotTaken);
         CHECK_FALSE(simulation.run(caller, "c/1", "WRITE 1 x").failure);
         CHECK(simulation.executionCount("c/1") == 1);
-        CHECK(simulation.entry->connections() == 1);
+        CHECK(simulation.entryEngine->connections() == 1);
         CHECK_FALSE(simulation.run(caller, "c/2", "WRITE 1 y").failure);
         CHECK(simulation.forwarded.size() == 1);
-        simulation.pass(3s);
+        simulation.advanceTime(3s);
         CHECK_FALSE(simulation.run(caller, "c/3", "WRITE 1 z").failure);
         CHECK(simulation.forwarded.size() == 2);
     }
@@ -175,7 +175,7 @@
     {
         PoolSimulation simulation { { .limits = { { TeamName { "a" }, { .ratePerSecond = 4, .burst = 4 } } },
             .forwardToOwner = true } };
-        simulation.entry->setShares(
+        simulation.entryEngine->setShares(
             { { TeamName { "a" }, { .ratePerSecond = 4, .burst = 4 } } }, simulation.now);
         const auto caller = simulation.connect();
         simulation.interceptStatement = [](const ModelConnection&, const UpstreamStatement& statement) {
@@ -186,7 +186,7 @@
         };
         for (int tries = 0; tries < 6; ++tries) {
             simulation.submit(caller, "c/" + std::to_string(tries), "READ 1");
-            simulation.pass(300ms);
+            simulation.advanceTime(300ms);
             CHECK(errorOf(simulation.takeReply(caller)) == StatementError::Busy);
         }
         simulation.interceptStatement = nullptr;
@@ -200,13 +200,13 @@
             .forwardToOwner = true } };
         const auto caller = simulation.connect();
         simulation.submit(caller, "order-7", "WRITE 1 x");
-        simulation.pass(500ms);
+        simulation.advanceTime(500ms);
         CHECK(errorOf(simulation.takeReply(caller)) == StatementError::Busy);
         REQUIRE(simulation.loggedEvents("refused").size() == 1);
         CHECK(simulation.loggedEvents("refused").front().at("id") == "order-7");
-        simulation.entry->setShares(
+        simulation.entryEngine->setShares(
             { { TeamName { "a" }, { .ratePerSecond = 4, .burst = 4 } } }, simulation.now);
-        simulation.pass(1s);
+        simulation.advanceTime(1s);
         failOnce(simulation, HandFailure::Lost);
         CHECK(errorOf(simulation.run(caller, "order-8", "WRITE 1 x")) == StatementError::InDoubt);
         CHECK(simulation.loggedEvents("home_failed").front().at("id") == "order-8");
--- a/tests/pooling/overload_test.cpp
+++ b/tests/pooling/overload_test.cpp
@@ -39,7 +39,7 @@
         CHECK_FALSE(simulation.run(caller, "c/1", "WRITE 1 x").failure);
         CHECK_FALSE(simulation.run(caller, "c/2", "READ 1").failure);
         CHECK(simulation.forwarded.empty());
-        CHECK(simulation.entry->connections() > 0);
+        CHECK(simulation.entryEngine->connections() > 0);
     }
 
     TEST_CASE("of a team that is over its rate the most urgent operations are let in first")
@@ -61,10 +61,10 @@
         simulation.submit(lowPriority, "l/1", "READ 1");
         simulation.submit(highPriority, "u/1", "READ 1");
         simulation.engine.tokensReceived(TeamName { "a" }, 1, simulation.now);
-        simulation.pass(1ms);
+        simulation.advanceTime(1ms);
         CHECK_FALSE(simulation.takeReply(highPriority).failure);
         CHECK(simulation.takeReplies(lowPriority).empty());
-        simulation.pass(60ms);
+        simulation.advanceTime(60ms);
         CHECK(errorOf(simulation.takeReply(lowPriority)) == StatementError::Busy);
     }
 
--- a/tests/pooling/owner_health_test.cpp
+++ b/tests/pooling/owner_health_test.cpp
@@ -26,9 +26,9 @@
         const auto second = simulation.connect();
         simulation.ownerUnreachable = true;
         simulation.submit(first, "c/1", "READ 1");
-        simulation.pass(100ms);
+        simulation.advanceTime(100ms);
         CHECK(simulation.takeReplies(first).empty());
-        simulation.pass(100ms);
+        simulation.advanceTime(100ms);
         CHECK(simulation.loggedEvents("home_out_of_reach").size() == 1);
         CHECK_FALSE(simulation.run(second, "d/1", "READ 1").failure);
         // What is under way may run at the home and is left there.
@@ -46,15 +46,15 @@
         const auto second = simulation.connect();
         simulation.ownerUnreachable = true;
         simulation.submit(first, "c/1", "READ 1");
-        simulation.pass(200ms);
+        simulation.advanceTime(200ms);
         CHECK(simulation.forwarded.size() == 1);
         for (int read = 0; read < 20; ++read) {
             CHECK_FALSE(simulation.run(second, "d/" + std::to_string(read), "READ 1").failure);
-            simulation.pass(200ms);
+            simulation.advanceTime(200ms);
         }
         CHECK(simulation.forwarded.size() == 1);
         simulation.ownerUnreachable = false;
-        simulation.pass(400ms);
+        simulation.advanceTime(400ms);
         CHECK_FALSE(simulation.run(second, "e/1", "READ 1").failure);
         CHECK(simulation.forwarded.size() == 2);
     }
@@ -66,7 +66,7 @@
         const auto caller = simulation.connect();
         simulation.ownerUnreachable = true;
         simulation.submit(caller, "c/1", "WRITE 1 x");
-        simulation.pass(400ms);
+        simulation.advanceTime(400ms);
         CHECK(simulation.takeReplies(caller).empty());
         simulation.restoreOwnerLink();
         CHECK_FALSE(simulation.takeReply(caller).failure);
@@ -84,10 +84,10 @@
         CHECK_FALSE(simulation.run(caller, "c/2", "WRITE 1 x").failure);
         simulation.ownerUnreachable = true;
         simulation.submit(other, "d/1", "READ 1");
-        simulation.pass(200ms);
+        simulation.advanceTime(200ms);
         CHECK(errorOf(simulation.run(caller, "c/3", "COMMIT")) == StatementError::Aborted);
         simulation.restoreOwnerLink();
-        simulation.pass(5s);
+        simulation.advanceTime(5s);
         CHECK_FALSE(simulation.committed("c/2"));
     }
 
@@ -102,8 +102,9 @@
         simulation.holdUpstreamActions = true;
         simulation.submit(caller, "c/2", "READ 2");
         const Reply lateReply { .rows = { "row of c/1" }, .proof = "proof" };
-        simulation.entry->handedWorkAnswered(caller, formerSession, lateReply, simulation.now);
-        simulation.entry->handedWorkFailed(caller, formerSession, HandFailure::NotTaken, simulation.now);
+        simulation.entryEngine->handedWorkAnswered(caller, formerSession, lateReply, simulation.now);
+        simulation.entryEngine->handedWorkFailed(
+            caller, formerSession, HandFailure::NotTaken, simulation.now);
         CHECK(simulation.takeReplies(caller).empty());
         simulation.holdUpstreamActions = false;
         simulation.deliverHeldActions();
@@ -118,7 +119,7 @@
         CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
         simulation.holdUpstreamActions = true;
         simulation.submit(caller, "c/1", "READ 1");
-        simulation.pass(300ms);
+        simulation.advanceTime(300ms);
         CHECK(simulation.livenessChecks == 1);
         CHECK(simulation.takeReplies(caller).empty());
         CHECK(simulation.forwarded.size() == 2);
--- a/tests/pooling/pool_simulation.cpp
+++ b/tests/pooling/pool_simulation.cpp
@@ -78,16 +78,16 @@
     this->routes->limits = options.limits;
     this->routes->connectionCaps[service] = options.connectionCap;
     if (options.forwardToOwner)
-        this->entry = std::make_unique<SessionEngine>(
+        this->entryEngine = std::make_unique<SessionEngine>(
             SessionEngine::Options { .zone = ZoneName { "catania" }, .seed = 1 });
     this->publishRoutes();
     this->forEachEngine(
         [this](SessionEngine& sessionEngine) { sessionEngine.setPlace({ .vms = 1, .rank = 0 }, this->now); });
-    if (this->entry) {
+    if (this->entryEngine) {
         // The home is the only VM on the list, so that it is the home of everything.
         const auto homes = std::make_shared<GroupHomes>(
             VmName { "entry" }, std::map<VmName, VmStrength> { { VmName { "home" }, {} } });
-        this->entry->setPlace({ .vms = options.vms, .rank = 0, .homes = homes }, this->now);
+        this->entryEngine->setPlace({ .vms = options.vms, .rank = 0, .homes = homes }, this->now);
     }
     this->publishDirectory();
     this->setPrimary("primary", 1);
@@ -143,22 +143,22 @@
 CallerId PoolSimulation::connect(const std::string& key, const std::string& database)
 {
     const CallerId caller { ++this->lastCallerId };
-    this->front().callerConnected(caller, this->now);
-    this->front().callerStarted(caller, { .database = database, .key = key }, this->now);
+    this->callerEngine().callerConnected(caller, this->now);
+    this->callerEngine().callerStarted(caller, { .database = database, .key = key }, this->now);
     this->performActions();
     return caller;
 }
 
 void PoolSimulation::submit(CallerId caller, const std::string& id, const std::string& text)
 {
-    this->front().callerAsked(
+    this->callerEngine().callerAsked(
         caller, { .id = id, .text = text, .statement = parseStatement(text) }, this->now);
     this->performActions();
 }
 
 void PoolSimulation::disconnect(CallerId caller)
 {
-    this->front().callerLeft(caller, this->now);
+    this->callerEngine().callerLeft(caller, this->now);
     this->performActions();
 }
 
@@ -186,7 +186,7 @@
     return match == this->closedCallers.end() ? std::nullopt : match->second;
 }
 
-void PoolSimulation::pass(Duration duration)
+void PoolSimulation::advanceTime(Duration duration)
 {
     constexpr Duration step = std::chrono::milliseconds { 20 };
     for (const auto end = this->now + duration; this->now < end;) {
@@ -215,11 +215,11 @@
     return found;
 }
 
-void PoolSimulation::forEachEngine(const std::function<void(SessionEngine&)>& work)
+void PoolSimulation::forEachEngine(const std::function<void(SessionEngine&)>& visitor)
 {
-    work(this->engine);
-    if (this->entry)
-        work(*this->entry);
+    visitor(this->engine);
+    if (this->entryEngine)
+        visitor(*this->entryEngine);
 }
 
 void PoolSimulation::performActions()
@@ -227,7 +227,7 @@
     bool more = true;
     while (more) {
         more = this->performActionsOf(this->engine);
-        more = (this->entry && this->performActionsOf(*this->entry)) || more;
+        more = (this->entryEngine && this->performActionsOf(*this->entryEngine)) || more;
     }
 }
 
@@ -257,7 +257,7 @@
     this->forwarded.push_back(action.work);
     const auto failure = this->failForwarding ? this->failForwarding(action) : std::nullopt;
     if (failure == HandFailure::NotTaken)
-        return this->entry->handedWorkFailed(action.caller, action.work.guest, *failure, this->now);
+        return this->entryEngine->handedWorkFailed(action.caller, action.work.guest, *failure, this->now);
     this->pendingForwards[action.work.guest] = { .caller = action.caller,
         .until = this->now + action.timeLimit,
         .replyLost = failure == HandFailure::Lost };
@@ -287,9 +287,9 @@
     const auto waiting = match->second;
     this->pendingForwards.erase(match);
     if (waiting.replyLost)
-        this->entry->handedWorkFailed(waiting.caller, action.guest, HandFailure::Lost, this->now);
+        this->entryEngine->handedWorkFailed(waiting.caller, action.guest, HandFailure::Lost, this->now);
     else
-        this->entry->handedWorkAnswered(waiting.caller, action.guest, action.reply, this->now);
+        this->entryEngine->handedWorkAnswered(waiting.caller, action.guest, action.reply, this->now);
 }
 
 void PoolSimulation::expirePendingForwards()
@@ -302,7 +302,7 @@
     for (const auto guest : overdue) {
         const auto waiting = this->pendingForwards.at(guest);
         this->pendingForwards.erase(guest);
-        this->entry->handedWorkFailed(waiting.caller, guest, HandFailure::Lost, this->now);
+        this->entryEngine->handedWorkFailed(waiting.caller, guest, HandFailure::Lost, this->now);
     }
     this->performActions();
 }
@@ -319,7 +319,7 @@
         return this->replyToRemoteSession(*answered);
     if (const auto* asked = std::get_if<AskHome>(&action)) {
         ++this->livenessChecks;
-        this->entry->homeAsked(asked->home, !this->ownerUnreachable, this->now);
+        this->entryEngine->homeAsked(asked->home, !this->ownerUnreachable, this->now);
         return;
     }
     if (const auto* gone = std::get_if<LetGuestGo>(&action)) {
@@ -418,21 +418,21 @@
         connection.uncommittedWrites.clear();
         connection.callersInTransaction.clear();
     } else {
-        return this->pass(connection, std::get<PassStatement>(statement));
+        return this->runCallerStatement(connection, std::get<PassStatement>(statement));
     }
     return this->replyFrom(connection);
 }
 
-Reply PoolSimulation::pass(ModelConnection& connection, const PassStatement& statement)
+Reply PoolSimulation::runCallerStatement(ModelConnection& connection, const PassStatement& statement)
 {
     auto& upstream = this->upstreams.at(connection.upstream);
-    const bool commits = statement.text == "COMMIT";
-    const bool writes = !commits && isWrite(connection, statement);
+    const bool isCommit = statement.text == "COMMIT";
+    const bool writes = !isCommit && isWrite(connection, statement);
     if (writes && !upstream.primary)
         return this->refusalFrom(connection, StatementError::ReadOnly);
     const bool hasLostLeadership = !upstream.primary || upstream.term != connection.term;
     const bool isReadWrite = connection.inTransaction && !connection.readOnly;
-    const bool hasNoWrites = commits && connection.uncommittedWrites.empty();
+    const bool hasNoWrites = isCommit && connection.uncommittedWrites.empty();
     if (isReadWrite && hasLostLeadership && !hasNoWrites) {
         auto reply = this->refusalFrom(connection, StatementError::ReadOnly);
         reply.phase = SessionPhase::FailedTransaction;
@@ -458,9 +458,9 @@
     if (connection.inTransaction)
         connection.callersInTransaction.insert(statement.id.substr(0, statement.id.find('/')));
     CHECK(connection.callersInTransaction.size() <= 1);
-    if (commits || !connection.inTransaction) {
+    if (isCommit || !connection.inTransaction) {
         for (const auto& id : connection.uncommittedWrites)
-            this->commits.insert(id);
+            this->committedWrites.insert(id);
         upstream.logPosition += connection.uncommittedWrites.empty() ? 0 : 1;
         connection.uncommittedWrites.clear();
         connection.callersInTransaction.clear();
--- a/tests/pooling/pool_simulation.h
+++ b/tests/pooling/pool_simulation.h
@@ -90,7 +90,7 @@
     [[nodiscard]] bool isClosed(CallerId caller) const { return this->closedCallers.contains(caller); }
 
     /// Lets time pass, with a tick every 20 ms.
-    void pass(Duration duration);
+    void advanceTime(Duration duration);
     void renewView();
     void setPrimary(const std::string& upstream, std::uint64_t term);
     void setViewChanging();
@@ -106,7 +106,7 @@
     /// The view of the primary that the engines have.
     [[nodiscard]] const LeaderView& leader() const { return this->view; }
     [[nodiscard]] std::size_t executionCount(const std::string& id) const;
-    [[nodiscard]] bool committed(const std::string& id) const { return this->commits.contains(id); }
+    [[nodiscard]] bool committed(const std::string& id) const { return this->committedWrites.contains(id); }
 
     /// Holds back everything that the engine sends to upstreams until deliver().
     bool holdUpstreamActions = false;
@@ -131,7 +131,7 @@
     /// The engine that holds the connections; callers come to it as well unless there is an entry.
     SessionEngine engine;
     /// The engine of the VM that callers come to, when that is another one.
-    std::unique_ptr<SessionEngine> entry;
+    std::unique_ptr<SessionEngine> entryEngine;
     Instant now { std::chrono::seconds { 100 } };
     std::shared_ptr<RouteTable> routes = std::make_shared<RouteTable>();
     std::vector<AskForTokens> tokenRequests;
@@ -149,8 +149,11 @@
         bool replyLost = false;
     };
 
-    [[nodiscard]] SessionEngine& front() { return this->entry ? *this->entry : this->engine; }
-    void forEachEngine(const std::function<void(SessionEngine&)>& work);
+    [[nodiscard]] SessionEngine& callerEngine()
+    {
+        return this->entryEngine ? *this->entryEngine : this->engine;
+    }
+    void forEachEngine(const std::function<void(SessionEngine&)>& visitor);
     void performActions();
     [[nodiscard]] bool performActionsOf(SessionEngine& from);
     void performAction(const EngineAction& action, SessionEngine& from);
@@ -160,7 +163,7 @@
     void open(const OpenConnection& action, SessionEngine& from);
     void send(const SendStatement& action, SessionEngine& from);
     Reply runOnConnection(ModelConnection& connection, const UpstreamStatement& statement);
-    Reply pass(ModelConnection& connection, const PassStatement& statement);
+    Reply runCallerStatement(ModelConnection& connection, const PassStatement& statement);
     [[nodiscard]] Reply replyFrom(const ModelConnection& connection) const;
     [[nodiscard]] Reply refusalFrom(const ModelConnection& connection, StatementError error) const;
     [[nodiscard]] bool isBehind(const ModelUpstream& upstream, const std::optional<Progress>& after) const;
@@ -174,7 +177,7 @@
     std::deque<std::pair<EngineAction, SessionEngine*>> heldActions;
     std::vector<ExecutedStatement> executedStatements;
     std::vector<LogDecision> logDecisions;
-    std::set<std::string> commits;
+    std::set<std::string> committedWrites;
     std::uint64_t lastCallerId = 0;
     LeaderView view;
 };
--- a/tests/pooling/progress_history_test.cpp
+++ b/tests/pooling/progress_history_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-Progress at(std::uint64_t term, std::uint64_t position)
+Progress progressAt(std::uint64_t term, std::uint64_t position)
 {
     return { Term { term }, LogPosition { position } };
 }
@@ -21,11 +21,11 @@
         ProgressHistory history;
         const Instant start { 10s };
         for (int index = 0; index < 10; ++index)
-            history.note({ .progress = at(1, 100 + static_cast<std::uint64_t>(index)),
+            history.note({ .progress = progressAt(1, 100 + static_cast<std::uint64_t>(index)),
                 .seenAt = start + index * 100ms });
         const auto covering = history.covering(start + 350ms);
         REQUIRE(covering);
-        CHECK(covering->progress == at(1, 104));
+        CHECK(covering->progress == progressAt(1, 104));
         CHECK_FALSE(history.covering(start + 950ms));
     }
 
@@ -36,20 +36,20 @@
         ProgressHistory history;
         const Instant start { 10s };
         for (int index = 0; index < 10; ++index)
-            history.note({ .progress = at(1, 100 + static_cast<std::uint64_t>(index)),
+            history.note({ .progress = progressAt(1, 100 + static_cast<std::uint64_t>(index)),
                 .seenAt = start + index * 100ms });
-        CHECK(history.lagOf(at(1, 109), start + 1s) == 0ms);
-        CHECK(history.lagOf(at(1, 104), start + 1s) == 500ms);
+        CHECK(history.lagOf(progressAt(1, 109), start + 1s) == 0ms);
+        CHECK(history.lagOf(progressAt(1, 104), start + 1s) == 500ms);
     }
 
     TEST_CASE("positions of a lower term are forgotten when a higher one is seen")
     {
         // After a promotion the old log may have been cut; a position beyond the cut exists nowhere any more.
         ProgressHistory history;
-        history.note({ .progress = at(1, 500), .seenAt = Instant { 10s } });
-        history.note({ .progress = at(2, 480), .seenAt = Instant { 11s } });
-        CHECK(history.covering(Instant { 9s })->progress == at(2, 480));
-        history.note({ .progress = at(1, 600), .seenAt = Instant { 12s } });
+        history.note({ .progress = progressAt(1, 500), .seenAt = Instant { 10s } });
+        history.note({ .progress = progressAt(2, 480), .seenAt = Instant { 11s } });
+        CHECK(history.covering(Instant { 9s })->progress == progressAt(2, 480));
+        history.note({ .progress = progressAt(1, 600), .seenAt = Instant { 12s } });
         CHECK_FALSE(history.covering(Instant { 11s + 500ms }));
     }
 }
--- a/tests/pooling/session_engine_test.cpp
+++ b/tests/pooling/session_engine_test.cpp
@@ -254,7 +254,7 @@
         simulation.submit(caller, "c/1", "BEGIN");
         simulation.submit(caller, "c/2", "WRITE 1 x");
         simulation.takeReplies(caller);
-        simulation.pass(3100ms);
+        simulation.advanceTime(3100ms);
         CHECK(errorOf(simulation.run(caller, "c/3", "WRITE 2 y")) == StatementError::Aborted);
         CHECK_FALSE(simulation.committed("c/2"));
         const auto next = simulation.connect();
@@ -284,7 +284,7 @@
             return isCallerStatement(statement) && lost++ == 0;
         };
         simulation.submit(caller, "c/1", "READ 1");
-        simulation.pass(300ms);
+        simulation.advanceTime(300ms);
         CHECK_FALSE(simulation.takeReply(caller).failure);
         CHECK(simulation.executionCount("c/1") == 2);
     }
@@ -301,7 +301,7 @@
             return Reply { .failure = StatementFailure { StatementError::Busy, "full" } };
         };
         simulation.submit(caller, "c/1", "WRITE 1 x");
-        simulation.pass(100ms);
+        simulation.advanceTime(100ms);
         CHECK_FALSE(simulation.takeReply(caller).failure);
         CHECK(simulation.executionCount("c/1") == 1);
     }
@@ -336,9 +336,9 @@
         CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
         simulation.upstream("primary").reachable = false;
         simulation.submit(caller, "c/1", "WRITE 1 x");
-        simulation.pass(980ms);
+        simulation.advanceTime(980ms);
         CHECK(simulation.takeReplies(caller).empty());
-        simulation.pass(40ms);
+        simulation.advanceTime(40ms);
         CHECK(errorOf(simulation.takeReply(caller)) == StatementError::InDoubt);
     }
 }
@@ -373,7 +373,7 @@
         for (int index = 0; index < 10; ++index) {
             const auto id = "c/r" + std::to_string(index);
             simulation.submit(caller, id, "READ 1");
-            simulation.pass(60ms);
+            simulation.advanceTime(60ms);
             CHECK_FALSE(simulation.takeReply(caller).failure);
         }
         for (const auto& run : simulation.executed())
@@ -387,7 +387,7 @@
         PoolSimulation simulation { boundedStaleness };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
-        simulation.pass(2s);
+        simulation.advanceTime(2s);
         CHECK_FALSE(simulation.run(caller, "c/2", "READ 1").failure);
         CHECK(simulation.executed().back().upstream == UpstreamName { "primary" });
         CHECK_FALSE(simulation.run(caller, "c/3", "READ 1").failure);
@@ -404,9 +404,9 @@
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "WRITE 1 x").failure);
         simulation.keepRenewingView = false;
-        simulation.pass(1010ms);
+        simulation.advanceTime(1010ms);
         simulation.submit(caller, "c/2", "WRITE 2 y");
-        simulation.pass(60ms);
+        simulation.advanceTime(60ms);
         const auto reply = simulation.takeReply(caller);
         CHECK(errorOf(reply) == StatementError::Busy);
         CHECK(reply.failure->text.find("retry after") != std::string::npos);
@@ -538,9 +538,9 @@
         for (const auto caller : callers)
             CHECK_FALSE(simulation.takeReply(caller).failure);
         CHECK(simulation.openConnections() == 6);
-        simulation.pass(180ms);
+        simulation.advanceTime(180ms);
         CHECK(simulation.openConnections() == 6);
-        simulation.pass(40ms);
+        simulation.advanceTime(40ms);
         CHECK(simulation.openConnections() == 0);
     }
 
@@ -554,7 +554,7 @@
         simulation.submit(first, "f/1", "READ 1");
         simulation.submit(second, "s/1", "READ 1");
         simulation.submit(third, "t/1", "READ 1");
-        simulation.pass(220ms);
+        simulation.advanceTime(220ms);
         CHECK(errorOf(simulation.takeReply(third)) == StatementError::Busy);
     }
 }
@@ -577,7 +577,7 @@
         REQUIRE(simulation.tokenRequests.size() == 1);
         CHECK(simulation.tokenRequests.front().team == TeamName { "a" });
         simulation.engine.tokensReceived(TeamName { "a" }, 1, simulation.now);
-        simulation.pass(1ms);
+        simulation.advanceTime(1ms);
         CHECK_FALSE(simulation.takeReply(caller).failure);
     }
 
@@ -591,11 +591,11 @@
         const auto caller = simulation.connect();
         simulation.submit(caller, "c/1", "READ 1");
         simulation.engine.tokensReceived(TeamName { "a" }, 0, simulation.now);
-        simulation.pass(60ms);
+        simulation.advanceTime(60ms);
         CHECK(errorOf(simulation.takeReply(caller)) == StatementError::Busy);
         simulation.submit(caller, "c/2", "READ 1");
         simulation.engine.tokensReceived(TeamName { "a" }, 0, simulation.now);
-        simulation.pass(55ms);
+        simulation.advanceTime(55ms);
         CHECK(errorOf(simulation.takeReply(caller)) == StatementError::Busy);
         CHECK(errorOf(simulation.run(caller, "c/3", "READ 1")) == StatementError::Busy);
         CHECK(simulation.executed().empty());
@@ -624,7 +624,7 @@
         PoolSimulation simulation { limited };
         simulation.engine.setShares(
             { { TeamName { "a" }, { .ratePerSecond = 4, .burst = 8 } } }, simulation.now);
-        simulation.pass(2s);
+        simulation.advanceTime(2s);
         CHECK(simulation.engine.giveTokens(TeamName { "a" }, 100, simulation.now) == 4);
         CHECK(simulation.engine.giveTokens(TeamName { "a" }, 100, simulation.now) == 2);
         CHECK(simulation.engine.giveTokens(TeamName { "none" }, 1, simulation.now) == 0);
@@ -642,9 +642,9 @@
         simulation.submit(busy, "b/2", "WRITE 1 x");
         simulation.takeReplies(busy);
         simulation.engine.drain(simulation.now + 1s, simulation.now + 3s);
-        simulation.pass(500ms);
+        simulation.advanceTime(500ms);
         CHECK_FALSE(simulation.isClosed(idle));
-        simulation.pass(600ms);
+        simulation.advanceTime(600ms);
         CHECK(simulation.isClosed(idle));
         CHECK_FALSE(simulation.closeFailure(idle));
         CHECK_FALSE(simulation.isClosed(busy));
--- a/tests/pooling/session_property_test.cpp
+++ b/tests/pooling/session_property_test.cpp
@@ -66,7 +66,7 @@
             if (!this->simulation.isClosed(testCaller.id))
                 this->submitRandomStatement(testCaller);
             if (this->chance(5))
-                this->simulation.pass(
+                this->simulation.advanceTime(
                     std::chrono::milliseconds { 20 * static_cast<int>(this->randomBelow(5)) });
             if (this->options.promotions)
                 this->changePrimary();
@@ -77,7 +77,7 @@
             this->simulation.restoreOwnerLink();
         if (this->options.promotions)
             this->publishPrimary();
-        this->simulation.pass(5s);
+        this->simulation.advanceTime(5s);
         for (auto& testCaller : this->testCallers)
             this->checkReplies(testCaller);
         if (this->options.promotions)
@@ -132,7 +132,7 @@
         this->simulation.failForwarding = nullptr;
         const auto caller = this->simulation.connect();
         this->simulation.submit(caller, "eve/1", "WRITE 1 x");
-        this->simulation.pass(500ms);
+        this->simulation.advanceTime(500ms);
         RC_ASSERT(!this->simulation.takeReply(caller).failure.has_value());
     }
 
@@ -144,14 +144,14 @@
             [&testCaller](const ExecutedStatement& run) { return run.id == testCaller.lastId; });
         if (reply.failure || reply.proof != "proof" || execution == executed.rend())
             return;
-        const bool commits = execution->text == "COMMIT";
+        const bool isCommit = execution->text == "COMMIT";
         const bool writes
             = std::find(testCaller.attemptWrites.begin(), testCaller.attemptWrites.end(), execution->id)
             != testCaller.attemptWrites.end();
-        if (!commits && !writes && execution->dependsOnView)
+        if (!isCommit && !writes && execution->dependsOnView)
             RC_ASSERT(execution->atPrimary);
         const bool keepsWrites
-            = reply.phase == SessionPhase::Idle && (commits ? !testCaller.attemptWrites.empty() : writes);
+            = reply.phase == SessionPhase::Idle && (isCommit ? !testCaller.attemptWrites.empty() : writes);
         if (!keepsWrites)
             return;
         RC_ASSERT(execution->upstream == this->simulation.leader().primary);
@@ -160,11 +160,11 @@
 
     std::optional<Reply> injectFailure(const ModelConnection& connection, const UpstreamStatement& statement)
     {
-        const auto* pass = std::get_if<PassStatement>(&statement);
-        if (pass == nullptr)
+        const auto* callerStatement = std::get_if<PassStatement>(&statement);
+        if (callerStatement == nullptr)
             return std::nullopt;
-        this->checkSessionState(connection, *pass);
-        if (!this->chance(12) || pass->text == "COMMIT")
+        this->checkSessionState(connection, *callerStatement);
+        if (!this->chance(12) || callerStatement->text == "COMMIT")
             return std::nullopt;
         Reply reply { .failure = StatementFailure { StatementError::Busy, "full" } };
         reply.phase = connection.inTransaction ? SessionPhase::InTransaction : SessionPhase::Idle;
