--- a/tests/pooling/contradicted_view_test.cpp
+++ b/tests/pooling/contradicted_view_test.cpp
@@ -12,7 +12,7 @@
 const PoolSimulation::Options boundedStaleness { .freshness = BoundedStalenessRoute { 1500ms } };
 const UpstreamName formerPrimary { "primary" };
 
-/// A database of the same upstreams whose reads see every commit.
+/// Adds the database "desk" on the same upstreams, whose reads see every commit.
 void addPrimaryRoute(PoolSimulation& simulation)
 {
     simulation.routes->routes["desk"] = simulation.routes->routes["beds"];
@@ -20,7 +20,7 @@
     simulation.publishRoutes();
 }
 
-/// Reads of `caller` until one ran at a replica.
+/// Sends reads of `caller` until one has run at a replica.
 void readUntilServedByReplica(PoolSimulation& simulation, CallerId caller)
 {
     const auto before = simulation.executed().size();
@@ -42,7 +42,7 @@
         all.begin(), all.end(), [](const UpstreamEvidence& evidence) { return evidence.contradictsView; });
 }
 
-/// Reads of `caller` until one came to an upstream of a later term.
+/// Sends reads of `caller` until the reply of a later term has contradicted the view.
 void readUntilLaterTermSeen(PoolSimulation& simulation, CallerId caller)
 {
     for (int tries = 0; tries < 8 && !isContradicted(simulation); ++tries) {
@@ -54,7 +54,7 @@
     simulation.takeReplies(caller);
 }
 
-/// The answer that a caller gets to what it asked within the time in which work waits for a primary.
+/// Returns the reply after the longest time that a statement waits for a valid view of the primary.
 Reply takeReplyAfterWait(PoolSimulation& simulation, CallerId caller)
 {
     simulation.advanceTime(80ms);
@@ -68,7 +68,7 @@
     CHECK(reply.failure->text.find("retry after") != std::string::npos);
 }
 
-/// Answers the next statement with this text in the place of the upstream.
+/// Replies to the next statement with this text in place of the upstream.
 void replyOnce(PoolSimulation& simulation, const std::string& text, std::optional<Progress> progress,
     SessionPhase phase = SessionPhase::Idle)
 {
@@ -79,7 +79,7 @@
             return std::nullopt;
         std::optional reply { Reply {
             .rows = { "row" }, .proof = "proof", .phase = phase, .progress = progress } };
-        // This ends what is captured here.
+        // Destroys this lambda and its captures, so nothing captured is used after this line.
         simulation.interceptStatement = nullptr;
         return reply;
     };
@@ -92,12 +92,12 @@
 
 } // namespace
 
-TEST_SUITE("a view of the primary that answers contradict")
+TEST_SUITE("a view of the primary contradicted by replies")
 {
-    TEST_CASE("after a replica has told a later term nothing is sent to the view's primary")
+    TEST_CASE("nothing is sent to the view's primary after a replica reported a later term")
     {
-        // Guards against reads and writes at a former primary by a VM that has already seen the next one's
-        // term.
+        // Guards against a VM that sends reads and writes to a former primary although it has already seen
+        // the next primary's term.
         PoolSimulation simulation { boundedStaleness };
         addPrimaryRoute(simulation);
         const auto reader = simulation.connect();
@@ -118,10 +118,10 @@
         CHECK(simulation.executed().back().upstream == UpstreamName { "replica-1" });
     }
 
-    TEST_CASE("a renewal does not bring a contradicted view back, and a later term of the same primary does")
+    TEST_CASE("a later term of the same primary replaces a contradicted view and a renewal does not")
     {
-        // Guards against a view that is renewed past what was seen, and against a primary that is never used
-        // again.
+        // Guards against renewing a view that replies have contradicted, and against a primary that is never
+        // used again.
         PoolSimulation simulation { boundedStaleness };
         addPrimaryRoute(simulation);
         const auto reader = simulation.connect();
@@ -139,10 +139,9 @@
         CHECK_FALSE(simulation.run(caller, "c/3", "WRITE 1 x").failure);
     }
 
-    TEST_CASE("a contradiction that nothing bears out keeps a primary from its callers for seconds only")
+    TEST_CASE("an unconfirmed contradiction makes the primary unavailable for seconds only")
     {
-        // Guards against a VM that never serves a group again after an answer from a term that came to
-        // nothing.
+        // Guards against a VM that never serves a group again after a reply from a term that did not last.
         PoolSimulation simulation { boundedStaleness };
         addPrimaryRoute(simulation);
         const auto reader = simulation.connect();
@@ -161,10 +160,10 @@
         CHECK_FALSE(simulation.run(caller, "c/3", "WRITE 1 x").failure);
     }
 
-    TEST_CASE("a statement is not sent on a connection whose greeting comes from a later term")
+    TEST_CASE("a statement is not sent on a connection whose greeting reports a later term")
     {
-        // Guards against running a statement at a former primary that has told its term when the connection
-        // opened.
+        // Guards against running a statement at a former primary that reported the later term when the
+        // connection opened.
         PoolSimulation simulation { {} };
         simulation.promote("replica-1");
         const auto caller = simulation.connect();
@@ -173,15 +172,15 @@
         CHECK(simulation.executionCount("c/1") == 0);
     }
 
-    TEST_CASE("a transaction that rests on a contradicted view reads no more")
+    TEST_CASE("a transaction that depends on a contradicted view is aborted at its next read")
     {
-        // Guards against reads on a snapshot that may have been taken when the next primary led already.
+        // Guards against reads on a snapshot that may have been taken after the next primary was promoted.
         PoolSimulation simulation { boundedStaleness };
         addPrimaryRoute(simulation);
         const auto reader = simulation.connect();
         const auto caller = simulation.connect("key-a", "desk");
-        SUBCASE("one for reading") { CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN READ").failure); }
-        SUBCASE("one for writing") { CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN").failure); }
+        SUBCASE("read-only") { CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN READ").failure); }
+        SUBCASE("read-write") { CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN").failure); }
         CHECK_FALSE(simulation.run(caller, "c/2", "READ 1").failure);
         for (const auto* name : { "replica-1", "replica-2" })
             simulation.upstream(name).term = 2;
@@ -192,21 +191,21 @@
         CHECK(simulation.executionCount("c/3") == 0);
     }
 
-    TEST_CASE("a primary that refuses to act as one is not read at as one")
+    TEST_CASE("no primary read goes to an upstream that refused to act as the primary")
     {
-        // Guards against reads of primary routes at an upstream that has answered READONLY under the same
+        // Guards against reads of primary routes at an upstream that has replied READONLY under the same
         // view.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
         simulation.upstream("primary").primary = false;
-        SUBCASE("to a write") { simulation.submit(caller, "c/1", "WRITE 1 x"); }
-        SUBCASE("to the opening of a transaction")
+        SUBCASE("refuses a write") { simulation.submit(caller, "c/1", "WRITE 1 x"); }
+        SUBCASE("refuses to open a transaction")
         {
             CHECK_FALSE(simulation.run(caller, "c/b", "BEGIN").failure);
             simulation.submit(caller, "c/1", "WRITE 1 x");
         }
-        SUBCASE("within a transaction")
+        SUBCASE("refuses a write in an open transaction")
         {
             simulation.upstream("primary").primary = true;
             CHECK_FALSE(simulation.run(caller, "c/b", "BEGIN").failure);
@@ -222,9 +221,9 @@
         CHECK(simulation.executionCount("o/1") == 0);
     }
 
-    TEST_CASE("a write that a transaction for reading refuses says nothing of who leads")
+    TEST_CASE("a write refused in a read-only transaction does not contradict the view")
     {
-        // Guards against one caller's mistake that would take a healthy primary out of service.
+        // Guards against one caller's mistake taking a healthy primary out of service.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN READ").failure);
@@ -242,9 +241,10 @@
         CHECK_FALSE(simulation.run(other, "o/1", "WRITE 1 x").failure);
     }
 
-    TEST_CASE("a refusal of what was sent under an earlier view says nothing of the present one")
+    TEST_CASE("a refusal of a statement sent under an earlier view does not contradict the view")
     {
-        // Guards against a late READONLY that would take a primary out of service which leads again.
+        // Guards against a late READONLY reply taking a primary out of service that has been promoted again
+        // since.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
@@ -268,10 +268,9 @@
         CHECK_FALSE(simulation.takeReply(caller).failure);
     }
 
-    TEST_CASE("the control side is told until a view comes that is not contradicted")
+    TEST_CASE("a contradiction is reported until a view arrives that is not contradicted")
     {
-        // Guards against a later term that is forgotten with the first new view, though that one is older
-        // still.
+        // Guards against forgetting the later term with the first new view although that view is older still.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
@@ -288,34 +287,34 @@
     }
 }
 
-TEST_SUITE("reads that rest on a view of the primary")
+TEST_SUITE("reads that depend on a view of the primary")
 {
-    TEST_CASE("a read that a former primary answers from the next term is not delivered")
+    TEST_CASE("a read that a former primary answers in the next term is not delivered")
     {
-        // Guards against the stale read at a former primary that follows the next term and lacks a commit of
-        // it.
+        // Guards against a stale read at a former primary that follows the next term and lacks one of its
+        // commits.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
         simulation.promote("replica-1");
         simulation.submit(caller, "c/1", "READ 1");
         CHECK(simulation.takeReplies(caller).empty());
-        SUBCASE("the view of the next primary comes in time")
+        SUBCASE("the view of the next primary arrives in time")
         {
             simulation.setPrimary("replica-1", 2);
             CHECK_FALSE(simulation.takeReply(caller).failure);
             CHECK(simulation.executed().back().upstream == UpstreamName { "replica-1" });
         }
-        SUBCASE("it does not")
+        SUBCASE("the view of the next primary does not arrive")
         {
             checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
             CHECK(simulation.executionCount("c/1") == 1);
         }
     }
 
-    TEST_CASE("a read is judged by the view under which it was sent")
+    TEST_CASE("a read is checked against the view under which it was sent")
     {
-        // Guards against a stale read whose answer comes when the view of the next term is already there.
+        // Guards against a stale read whose reply arrives after the view of the next term.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
@@ -329,9 +328,10 @@
         CHECK(simulation.executed().back().upstream == UpstreamName { "replica-1" });
     }
 
-    TEST_CASE("a bounded read that named no position is judged like one of a primary route")
+    TEST_CASE("a bounded staleness read without a position is checked like a primary read")
     {
-        // Guards against a bounded read at a former primary that may be behind by more than the bound.
+        // Guards against a bounded staleness read at a former primary that may be behind by more than the
+        // bound.
         PoolSimulation simulation { boundedStaleness };
         const auto caller = simulation.connect();
         simulation.interceptStatement
@@ -347,9 +347,10 @@
         CHECK((reply.failure || simulation.executed().back().after));
     }
 
-    TEST_CASE("a bounded read that named a position is delivered whatever term answers")
+    TEST_CASE("a bounded staleness read with a position is delivered whatever term answers")
     {
-        // Guards against refusing reads at replicas during a failover, whose freshness rests on no view.
+        // Guards against refusing reads at replicas during a failover; their freshness does not depend on a
+        // view.
         PoolSimulation simulation { boundedStaleness };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
@@ -359,43 +360,42 @@
             CHECK_FALSE(simulation.run(caller, "c/r" + std::to_string(index), "READ 1").failure);
     }
 
-    TEST_CASE("a transaction for reading is not opened at a former primary")
+    TEST_CASE("a read-only transaction is not opened at a former primary")
     {
-        // Guards against a snapshot taken at a former primary, at which all reads of the transaction would
-        // run.
+        // Guards against a snapshot taken at a former primary, where all reads of the transaction would run.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
         CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN READ").failure);
         simulation.promote("replica-1");
         simulation.submit(caller, "c/2", "READ 1");
-        SUBCASE("it waits for the view of the next primary")
+        SUBCASE("waits for the view of the next primary")
         {
             simulation.setPrimary("replica-1", 2);
             CHECK_FALSE(simulation.takeReply(caller).failure);
             CHECK(simulation.executed().back().upstream == UpstreamName { "replica-1" });
             CHECK_FALSE(simulation.run(caller, "c/3", "COMMIT").failure);
         }
-        SUBCASE("without one it is sent away")
+        SUBCASE("is refused without a view of the next primary")
         {
             checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
             CHECK(simulation.executionCount("c/2") == 0);
         }
     }
 
-    TEST_CASE("a transaction whose read is answered from a later term is dropped")
+    TEST_CASE("a transaction is aborted when its read is answered in a later term")
     {
-        // Guards against a stale read within a transaction, and against keeping what such a transaction
-        // wrote.
+        // Guards against a stale read in a transaction, and against committing the writes of such a
+        // transaction.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
-        SUBCASE("one for reading")
+        SUBCASE("read-only")
         {
             CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN READ").failure);
             CHECK_FALSE(simulation.run(caller, "c/2", "READ 1").failure);
             simulation.promote("replica-1");
         }
-        SUBCASE("one that has written")
+        SUBCASE("with a write")
         {
             CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN").failure);
             CHECK_FALSE(simulation.run(caller, "c/2", "WRITE 1 x").failure);
@@ -409,9 +409,9 @@
         CHECK_FALSE(simulation.committed("c/2"));
     }
 
-    TEST_CASE("a transaction that named a position goes on whatever term answers")
+    TEST_CASE("a transaction opened with a position continues whatever term answers")
     {
-        // Guards against dropping transactions at replicas in every failover.
+        // Guards against aborting transactions at replicas in every failover.
         PoolSimulation simulation { boundedStaleness };
         const auto reader = simulation.connect();
         CHECK_FALSE(simulation.run(reader, "r/1", "READ 1").failure);
@@ -426,38 +426,39 @@
     }
 }
 
-TEST_SUITE("commits that rest on a view of the primary")
+TEST_SUITE("commits that depend on a view of the primary")
 {
-    TEST_CASE("a write that is answered from a later term is a success only once a view of that term holds")
+    TEST_CASE("a write answered in a later term succeeds only once a view of that term is valid")
     {
-        // Guards against acknowledging a write under a view that its own answer shows to be out of date.
+        // Guards against acknowledging a write under a view that the reply itself shows to be out of date.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
         replyOnce(simulation, "WRITE 1 x", progressAt(3, 101));
         simulation.submit(caller, "c/1", "WRITE 1 x");
         CHECK(simulation.takeReplies(caller).empty());
-        SUBCASE("that view comes")
+        SUBCASE("that view arrives")
         {
             simulation.advanceTime(200ms);
             simulation.setPrimary("primary", 3);
             CHECK_FALSE(simulation.takeReply(caller).failure);
         }
-        SUBCASE("another one comes")
+        SUBCASE("another view arrives")
         {
             simulation.setPrimary("replica-1", 4);
             CHECK(errorOf(simulation.takeReply(caller)) == StatementError::InDoubt);
         }
-        SUBCASE("none comes")
+        SUBCASE("no view arrives")
         {
             simulation.advanceTime(900ms);
             CHECK(errorOf(simulation.takeReply(caller)) == StatementError::InDoubt);
         }
     }
 
-    TEST_CASE("a commit that is answered from a later term is held like a write")
+    TEST_CASE("a commit answered in a later term is held like a write")
     {
-        // Guards against the same for transactions, whose commit must be in doubt and not dropped.
+        // Guards against acknowledging a commit under a view that its reply shows to be out of date. Without
+        // a valid view the commit is in doubt, not aborted.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN").failure);
@@ -471,9 +472,9 @@
         CHECK(reply.phase == SessionPhase::Idle);
     }
 
-    TEST_CASE("a write of an earlier term is not a success because its upstream leads once more")
+    TEST_CASE("a write of an earlier term is in doubt although its upstream leads again")
     {
-        // Guards against acknowledging a write that two promotions may have cut from the log in between.
+        // Guards against acknowledging a write that two promotions in between may have cut from the log.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
@@ -487,9 +488,9 @@
         CHECK(errorOf(simulation.takeReply(caller)) == StatementError::InDoubt);
     }
 
-    TEST_CASE("a write that no view can confirm any more is in doubt at once")
+    TEST_CASE("a write is in doubt at once when no view can confirm it any more")
     {
-        // Guards against keeping a caller waiting for a view that cannot come.
+        // Guards against keeping a caller waiting for a view that cannot arrive.
         PoolSimulation simulation { {} };
         const auto writer = simulation.connect();
         const auto other = simulation.connect();
@@ -514,13 +515,13 @@
                       return before ? before(connection, statement) : std::nullopt;
                   };
         };
-        SUBCASE("as a term later than its own was seen")
+        SUBCASE("a term later than its own was seen")
         {
             submitBoth("READ 2");
             replyWith("WRITE 1 x", { .proof = "proof", .progress = progressAt(3, 101) });
             replyWith("READ 2", { .proof = "proof", .progress = progressAt(4, 101) });
         }
-        SUBCASE("as its upstream has refused to act as the primary")
+        SUBCASE("its upstream refused to act as the primary")
         {
             submitBoth("WRITE 2 y");
             simulation.now += 1100ms;
@@ -531,9 +532,9 @@
         CHECK(errorOf(simulation.takeReply(writer)) == StatementError::InDoubt);
     }
 
-    TEST_CASE("a write whose answer tells no position waits for the view like any other")
+    TEST_CASE("a write whose reply has no position waits for a valid view like any other")
     {
-        // Guards against a success without a view that holds, for want of a position to compare.
+        // Guards against a success without a valid view when there is no position to compare.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
@@ -545,7 +546,7 @@
         replyOnce(simulation, "WRITE 1 x", std::nullopt);
         simulation.deliverHeldActions();
         CHECK(simulation.takeReplies(caller).empty());
-        SUBCASE("it held")
+        SUBCASE("the view is renewed")
         {
             simulation.renewView();
             CHECK_FALSE(simulation.takeReply(caller).failure);
@@ -558,11 +559,11 @@
     }
 }
 
-TEST_SUITE("terms that siblings tell")
+TEST_SUITE("terms reported by siblings")
 {
-    TEST_CASE("a home does not read at its view's primary for a session that has written in a later term")
+    TEST_CASE("an owner does not read at its view's primary for a session with a later term")
     {
-        // Guards against a session that misses its own write at a home whose view is out of date.
+        // Guards against a session that misses its own write at an owner whose view is out of date.
         PoolSimulation simulation { { .freshness = ReadOwnWritesRoute { 2500ms } } };
         const auto first = simulation.connect();
         CHECK_FALSE(simulation.run(first, "f/1", "READ 1").failure);
@@ -576,9 +577,10 @@
         CHECK(simulation.executionCount("g/1") == 0);
     }
 
-    TEST_CASE("what a home answers from a later term ends the view of the VM that handed it on")
+    TEST_CASE("an owner's reply from a later term contradicts the view of the forwarding VM")
     {
-        // Guards against a VM that runs work itself under a view that its home has shown to be out of date.
+        // Guards against a VM that runs statements itself under a view that the owner has shown to be out of
+        // date.
         PoolSimulation simulation { { .forwardToOwner = true } };
         const auto caller = simulation.connect();
         simulation.promote("replica-1");
@@ -597,12 +599,12 @@
     }
 }
 
-TEST_SUITE("positions that were noted under a view")
+TEST_SUITE("positions recorded under a view")
 {
-    TEST_CASE("positions noted under a view that still held when a later term was seen are not used any more")
+    TEST_CASE("positions are not used when a later term was seen while the view was valid")
     {
-        // Guards against bounded reads at positions of a former primary, which cover no commit of the next
-        // one.
+        // Guards against bounded staleness reads at positions of a former primary, which cover no commit of
+        // the next one.
         PoolSimulation simulation { boundedStaleness };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
@@ -614,9 +616,9 @@
         CHECK(simulation.executed().size() == before);
     }
 
-    TEST_CASE("positions noted under a view that had ended go on serving reads at replicas")
+    TEST_CASE("positions still serve reads at replicas when a later term was seen after the view ended")
     {
-        // Guards against refusing reads during every failover, from the first answer of the next term on.
+        // Guards against refusing reads during every failover from the first reply of the next term on.
         PoolSimulation simulation { boundedStaleness };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
--- a/tests/pooling/forwarded_statement_test.cpp
+++ b/tests/pooling/forwarded_statement_test.cpp
@@ -10,7 +10,7 @@
 const PoolSimulation::Options forwardToOwner { .freshness = ReadOwnWritesRoute { 2500ms },
     .forwardToOwner = true };
 
-/// Fails the next statement that is handed on, and none after it.
+/// Fails the next forwarded statement and none after it.
 void failOnce(PoolSimulation& simulation, HandFailure failure)
 {
     simulation.failForwarding = [&simulation, failure](const HandWork&) {
@@ -21,9 +21,9 @@
 
 } // namespace
 
-TEST_SUITE("work handed to the home of its service")
+TEST_SUITE("statements forwarded to the service owner")
 {
-    TEST_CASE("a statement runs at the home with its id, its text, its team and its session's values")
+    TEST_CASE("a forwarded statement runs at the owner with its id, team and session state")
     {
         PoolSimulation simulation { forwardToOwner };
         const auto caller = simulation.connect();
@@ -41,7 +41,7 @@
         CHECK(simulation.engine.callers() == 0);
     }
 
-    TEST_CASE("two sessions of one team share the home's connection")
+    TEST_CASE("two sessions of one team share the owner's connection")
     {
         PoolSimulation simulation { forwardToOwner };
         const auto first = simulation.connect();
@@ -51,7 +51,7 @@
         CHECK(simulation.openConnections() == 1);
     }
 
-    TEST_CASE("a transaction stays with its guest until it ends")
+    TEST_CASE("a transaction keeps its remote session until it ends")
     {
         PoolSimulation simulation { forwardToOwner };
         const auto caller = simulation.connect();
@@ -68,10 +68,10 @@
         CHECK(simulation.engine.callers() == 0);
     }
 
-    TEST_CASE("a rolled back transaction, and one whose caller leaves, is let go at once")
+    TEST_CASE("a remote session is released at once after a rollback or when its caller leaves")
     {
-        // The home would else hold the connection, and the rows that the transaction has locked, until the
-        // caller has rested too long.
+        // Guards against the owner holding the connection, and the rows that the transaction has locked,
+        // until the transaction's idle time is over.
         PoolSimulation simulation { forwardToOwner };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN").failure);
@@ -87,9 +87,10 @@
         CHECK_FALSE(simulation.committed("c/5"));
     }
 
-    TEST_CASE("a home out of reach costs nothing: the statement runs where the caller is")
+    TEST_CASE("a statement runs on the caller's VM when the owner is unreachable")
     {
-        // The home was killed a moment ago. Nothing has reached it, so the caller need not hear of it.
+        // Guards against an error for the caller when the owner was killed a moment ago. The statement has
+        // not reached it and can run elsewhere.
         PoolSimulation simulation { forwardToOwner };
         const auto caller = simulation.connect();
         failOnce(simulation, HandFailure::NotTaken);
@@ -103,10 +104,10 @@
         CHECK(simulation.forwarded.size() == 2);
     }
 
-    TEST_CASE("a write whose answer from the home is lost is in doubt and is not sent again")
+    TEST_CASE("a write whose reply from the owner is lost is in doubt and is not sent again")
     {
-        // The home dies after it has run an order and before it could say so. Sent again, the order would be
-        // placed twice; called not run, the shop would place it again itself.
+        // The owner dies after it has run an order and before it could reply. If the order were sent again,
+        // it would be placed twice; if it were reported as not run, the caller would place it again.
         PoolSimulation simulation { forwardToOwner };
         const auto caller = simulation.connect();
         failOnce(simulation, HandFailure::Lost);
@@ -115,7 +116,7 @@
         CHECK(simulation.committed("c/1"));
     }
 
-    TEST_CASE("a commit whose answer is lost is in doubt, and the session goes on")
+    TEST_CASE("a commit whose reply is lost is in doubt and the session continues")
     {
         PoolSimulation simulation { forwardToOwner };
         const auto caller = simulation.connect();
@@ -128,10 +129,10 @@
         CHECK_FALSE(simulation.run(caller, "c/4", "READ 1").failure);
     }
 
-    TEST_CASE("a transaction whose home is gone is dropped, and the caller is told so")
+    TEST_CASE("a transaction whose owner is gone is aborted and the caller is told so")
     {
-        // The home is killed with the transaction open. Nothing of it is kept, which the caller may rely on
-        // when it starts again.
+        // The owner is killed with the transaction open. Nothing of it is committed, and the caller may rely
+        // on that when it runs the transaction again.
         PoolSimulation simulation { forwardToOwner };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN").failure);
@@ -145,10 +146,11 @@
         CHECK_FALSE(simulation.committed("c/3"));
     }
 
-    TEST_CASE("a guest that the home has dropped meanwhile is not opened anew in the middle")
+    TEST_CASE("a statement of a transaction that the owner has ended starts no new transaction")
     {
-        // The home ended the transaction because its caller rested too long. If it took the next statement
-        // for a new transaction, the commit would keep half of what the caller had asked for.
+        // The owner ended the transaction because its caller was idle for too long. If it took the next
+        // statement for the start of a new transaction, the commit would keep only half of what the caller
+        // had sent.
         PoolSimulation simulation { forwardToOwner };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN").failure);
@@ -158,10 +160,10 @@
         CHECK(simulation.executionCount("c/3") == 0);
     }
 
-    TEST_CASE("a session reads its own write through the home, wherever the read runs")
+    TEST_CASE("a session reads its own write through the owner wherever the read runs")
     {
-        // A replica that lags is asked by the home, which has not seen this session before; without the
-        // session's position it would answer from before the write.
+        // The owner may read at a replica that lags and has not seen this session before. Without the
+        // session's required progress the read would return a row from before the write.
         PoolSimulation simulation { forwardToOwner };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "WRITE 1 x").failure);
@@ -171,7 +173,7 @@
         CHECK(simulation.forwarded[1].floor->position == LogPosition { 101 });
     }
 
-    TEST_CASE("an operation that the home refuses does not count against the team's limit")
+    TEST_CASE("an operation that the owner refuses does not count against the team's limit")
     {
         PoolSimulation simulation { { .limits = { { TeamName { "a" }, { .ratePerSecond = 4, .burst = 4 } } },
             .forwardToOwner = true } };
@@ -193,9 +195,10 @@
         CHECK_FALSE(simulation.run(caller, "c/9", "READ 1").failure);
     }
 
-    TEST_CASE("a refusal for the team's rate, and a failure of a home, are found by the statement's id")
+    TEST_CASE("log lines of rate refusals and owner failures have the statement's id")
     {
-        // A user complains of a refused order and gives its id; the engineer has only the log.
+        // A user complains about a refused order and gives its id; only the log can tell an operator what
+        // happened.
         PoolSimulation simulation { { .limits = { { TeamName { "a" }, { .ratePerSecond = 1, .burst = 1 } } },
             .forwardToOwner = true } };
         const auto caller = simulation.connect();
--- a/tests/pooling/overload_test.cpp
+++ b/tests/pooling/overload_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// One session for each of so many teams.
+/// Opens one session for each of `teams` teams.
 std::vector<CallerId> connectTeams(PoolSimulation& simulation, int teams)
 {
     for (int number = 0; number < teams; ++number)
@@ -24,13 +24,13 @@
 
 } // namespace
 
-TEST_SUITE("decisions under heavy load")
+TEST_SUITE("overload")
 {
-    TEST_CASE("a VM whose own part of the connections suffices hands nothing to a home")
+    TEST_CASE("a VM whose share of the connections suffices forwards nothing to an owner")
     {
-        // Six VMs share 32 connections to each upstream, and all of a team's work goes to one home. That home
-        // turns slow or is replaced: callers of every VM wait for it, though the VM they came to could have
-        // served them by itself.
+        // Six VMs share 32 connections to each upstream. If a team's statements all went to one owner that
+        // turns slow or is replaced, callers of every VM would wait for it, although the VM that they are
+        // connected to could serve them by itself.
         PoolSimulation simulation { { .connectionCap = 32,
             .freshness = ReadOwnWritesRoute { 2500ms },
             .forwardToOwner = true,
@@ -42,11 +42,12 @@
         CHECK(simulation.entryEngine->connections() > 0);
     }
 
-    TEST_CASE("of a team that is over its rate the most urgent operations are let in first")
+    TEST_CASE("operations of the highest priority are admitted first when a team exceeds its rate")
     {
-        // One team asks for several times its rate, with all kinds of operations. Each waits for the limit a
-        // part of its own target, so the leisurely ones waited longest and got in, while nearly all of the
-        // urgent ones were refused.
+        // One team asks for several times its rate, with operations of all priorities. Each waits for the
+        // limit for a part of its own target latency; when they were admitted without regard to priority,
+        // those with the longest targets waited longest and were admitted, while nearly all urgent ones were
+        // refused.
         PoolSimulation simulation { { .limits
             = { { TeamName { "a" }, { .ratePerSecond = 10, .burst = 1 } } } } };
         simulation.routes->routes["history"] = simulation.routes->routes["beds"];
@@ -70,9 +71,9 @@
 
     TEST_CASE("a read that depends on the primary is refused at once while the primary is being replaced")
     {
-        // All VMs lose power while a primary is being replaced. The restarted ones have seen no position that
-        // they could name to a replica, so no upstream may answer even a read. Held back until its target had
-        // passed it would be refused all the same, with less time left for another try.
+        // All VMs lose power while a primary is being replaced. The restarted VMs have recorded no position
+        // that they could require of a replica, so no upstream may serve even a read. A read that is held
+        // until its target latency has passed would be refused all the same, with less time left for a retry.
         PoolSimulation simulation { { .freshness = BoundedStalenessRoute { 1500ms } } };
         simulation.setViewChanging();
         const auto caller = simulation.connect();
@@ -82,11 +83,11 @@
         CHECK(simulation.executed().empty());
     }
 
-    TEST_CASE("half of a VM's connections stay unopened while idle ones can make room")
+    TEST_CASE("a VM keeps half of its connections unopened while it can close idle ones")
     {
-        // Eight teams ask in turn, and each gets a connection of its own. All VMs lose power: their upstream
-        // takes every one of these connections for open for three seconds more and turns the restarted VMs
-        // away.
+        // Eight teams send statements in turn, each over a connection of its own. If all VMs lose power, the
+        // upstream counts every open connection as taken for three seconds more and refuses the restarted
+        // VMs.
         PoolSimulation simulation { { .replicas = 0, .connectionCap = 9 } };
         const auto callers = connectTeams(simulation, 8);
         for (std::size_t index = 0; index < callers.size(); ++index)
@@ -94,7 +95,7 @@
         CHECK(simulation.openConnections() == 4);
     }
 
-    TEST_CASE("statements that come together get all of a VM's connections")
+    TEST_CASE("concurrent statements use more than half of a VM's connections")
     {
         PoolSimulation simulation { { .replicas = 0, .connectionCap = 9 } };
         const auto callers = connectTeams(simulation, 6);
--- a/tests/pooling/owner_health_test.cpp
+++ b/tests/pooling/owner_health_test.cpp
@@ -16,11 +16,11 @@
 
 } // namespace
 
-TEST_SUITE("homes that cannot be reached")
+TEST_SUITE("unreachable owners")
 {
-    TEST_CASE("work goes elsewhere soon after its home was cut off, not after a statement's whole time")
+    TEST_CASE("statements run elsewhere soon after their owner was cut off")
     {
-        // Guards against a second of statements that all wait at a home behind a partition.
+        // Guards against a second of statements that all wait at an owner behind a partition.
         PoolSimulation simulation { forwardToOwner };
         const auto first = simulation.connect();
         const auto second = simulation.connect();
@@ -31,16 +31,16 @@
         simulation.advanceTime(100ms);
         CHECK(simulation.loggedEvents("home_out_of_reach").size() == 1);
         CHECK_FALSE(simulation.run(second, "d/1", "READ 1").failure);
-        // What is under way may run at the home and is left there.
+        // The statement under way may run at the owner, so it is not sent to another VM.
         CHECK(simulation.takeReplies(first).empty());
         simulation.restoreOwnerLink();
         CHECK_FALSE(simulation.takeReply(first).failure);
         CHECK(simulation.executionCount("c/1") == 1);
     }
 
-    TEST_CASE("nothing is handed to a home out of reach until it gives a sign of life")
+    TEST_CASE("nothing is forwarded to an unreachable owner until a liveness check succeeds")
     {
-        // Guards against one statement of each pause that is lost to find out whether the home is back.
+        // Guards against losing one statement per pause to find out whether the owner is reachable again.
         PoolSimulation simulation { forwardToOwner };
         const auto first = simulation.connect();
         const auto second = simulation.connect();
@@ -59,9 +59,9 @@
         CHECK(simulation.forwarded.size() == 2);
     }
 
-    TEST_CASE("a write at a home that cannot be reached is never sent again")
+    TEST_CASE("a write at an unreachable owner is never sent again")
     {
-        // Guards against an order that is placed twice: it may have arrived before the partition.
+        // Guards against placing an order twice: it may have arrived before the partition.
         PoolSimulation simulation { forwardToOwner };
         const auto caller = simulation.connect();
         simulation.ownerUnreachable = true;
@@ -74,7 +74,7 @@
         CHECK(simulation.forwarded.size() == 1);
     }
 
-    TEST_CASE("a transaction at a home out of reach is dropped at its next statement, with nothing kept")
+    TEST_CASE("a transaction at an unreachable owner is aborted at its next statement")
     {
         // Guards against each further statement of the transaction waiting until its time limit.
         PoolSimulation simulation { forwardToOwner };
@@ -91,9 +91,9 @@
         CHECK_FALSE(simulation.committed("c/2"));
     }
 
-    TEST_CASE("what a home answers to work that was given up is no answer to the work that followed")
+    TEST_CASE("an owner's late reply is not taken for the reply to the next statement")
     {
-        // Guards against rows of one read in the answer to another.
+        // Guards against rows of one read in the reply to another.
         PoolSimulation simulation { forwardToOwner };
         const auto caller = simulation.connect();
         simulation.submit(caller, "c/1", "READ 1");
@@ -111,9 +111,9 @@
         CHECK(simulation.takeReply(caller).rows == std::vector<std::string> { "row of c/2" });
     }
 
-    TEST_CASE("a slow statement at a home that lives is left there")
+    TEST_CASE("a slow statement stays at an owner that passes its liveness check")
     {
-        // Guards against twice the work for upstreams that are slow.
+        // Guards against doubling the load of upstreams that are slow.
         PoolSimulation simulation { forwardToOwner };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
@@ -129,7 +129,7 @@
         CHECK(simulation.executionCount("c/1") == 1);
     }
 
-    TEST_CASE("a home is asked only when it owes an answer for a while")
+    TEST_CASE("an owner is checked only when it has owed a reply for a while")
     {
         HomeHealth health;
         health.noteWaiting({ { owner, start } });
@@ -142,7 +142,7 @@
         CHECK(health.due(start + 1s).empty());
     }
 
-    TEST_CASE("a home out of reach is asked until it gives a sign, or long enough")
+    TEST_CASE("an unreachable owner is checked until it passes")
     {
         HomeHealth health;
         health.noteWaiting({ { owner, start } });
--- a/tests/pooling/pool_simulation.cpp
+++ b/tests/pooling/pool_simulation.cpp
@@ -84,7 +84,7 @@
     this->forEachEngine(
         [this](SessionEngine& sessionEngine) { sessionEngine.setPlace({ .vms = 1, .rank = 0 }, this->now); });
     if (this->entryEngine) {
-        // The home is the only VM on the list, so that it is the home of everything.
+        // The owner is the only listed VM, so it owns every service.
         const auto homes = std::make_shared<GroupHomes>(
             VmName { "entry" }, std::map<VmName, VmStrength> { { VmName { "home" }, {} } });
         this->entryEngine->setPlace({ .vms = options.vms, .rank = 0, .homes = homes }, this->now);
@@ -271,7 +271,7 @@
 void PoolSimulation::restoreOwnerLink()
 {
     this->ownerUnreachable = false;
-    // The link is closed with what the other end has given up.
+    // Statements that the forwarding VM has given up are lost with the old link.
     for (const auto& work : std::exchange(this->undelivered, {})) {
         if (this->pendingForwards.contains(work.guest))
             this->engine.guestAsked(work, this->now);
--- a/tests/pooling/pool_simulation.h
+++ b/tests/pooling/pool_simulation.h
@@ -13,10 +13,10 @@
 #include <utility>
 #include <vector>
 
-/// A SessionEngine with a model of upstreams in place of the network, in virtual time.
+/// Runs session engines in virtual time, with simulated upstreams in place of the network.
 namespace cyclamendrift {
 
-/// One upstream of the model: a log of commits, and the connections to it.
+/// One simulated upstream: its directory entry, its role and the end of its log.
 struct ModelUpstream {
     UpstreamEntry entry;
     bool primary = false;
@@ -25,7 +25,7 @@
     bool reachable = true;
 };
 
-/// One connection of the model, with what the engine put in place on it.
+/// One simulated connection, with the session state that the engine has set on it.
 struct ModelConnection {
     UpstreamName upstream;
     TeamName team;
@@ -33,16 +33,17 @@
     std::map<std::string, PreparedShape> prepared;
     bool inTransaction = false;
     bool readOnly = false;
-    /// The term in which the open transaction was opened, and the position that it named.
+    /// The upstream's term when the open transaction was opened, and the position that the transaction
+    /// required.
     std::uint64_t term = 0;
     std::optional<Progress> after;
-    /// Writes of the open transaction, by the id of their statement.
+    /// Statement ids of the open transaction's writes.
     std::vector<std::string> uncommittedWrites;
-    /// Whose statements ran in the open transaction.
+    /// The callers whose statements ran in the open transaction.
     std::set<std::string> callersInTransaction;
 };
 
-/// A statement of a caller as an upstream ran it.
+/// A caller's statement as an upstream executed it.
 struct ExecutedStatement {
     std::string id;
     std::string text;
@@ -51,16 +52,18 @@
     std::map<std::string, std::string> values;
     std::optional<PreparedShape> shape;
     std::optional<Progress> after;
-    /// The term that the upstream knew of then, and whether it led it.
+    /// The upstream's term at that time, and whether it was the primary of it.
     std::uint64_t term = 0;
     bool atPrimary = false;
-    /// True when no position was named, for it or for its transaction.
+    /// True when neither the statement nor its transaction required a position.
     bool dependsOnView = false;
 };
 
-/// The error of an answer that has to be a failure.
+/// Returns the error of a reply; the test fails when the reply is a success.
 [[nodiscard]] StatementError errorOf(const Reply& reply);
 
+/// Performs the actions of one engine, or of two when statements are forwarded, on simulated upstreams. Time
+/// passes in advanceTime() only, unless a test changes `now`.
 class PoolSimulation {
 public:
     struct Options {
@@ -68,80 +71,85 @@
         std::uint32_t connectionCap = 12;
         RouteFreshness freshness = PrimaryRoute {};
         std::map<TeamName, TeamLimit> limits {};
-        /// Callers come to another VM, which hands their statements to this one as the home of the service.
+        /// Callers connect to another VM, which forwards their statements to this one, the service owner.
         bool forwardToOwner = false;
-        /// VMs that share the upstreams' connections, as the VM that callers come to knows them then.
+        /// Number of VMs that share the upstreams' connections, as the forwarding VM knows it.
         std::size_t vms = 4;
     };
 
     explicit PoolSimulation(Options options);
 
-    // What callers do; each returns after everything that follows at once has happened.
+    // Operations of callers. Each performs all engine actions that follow at once before it returns.
     CallerId connect(const std::string& key = "key-a", const std::string& database = "beds");
     void submit(CallerId caller, const std::string& id, const std::string& text);
     void disconnect(CallerId caller);
-    /// The answers that a caller has got since the last call.
+    /// Returns the replies that a caller has received since the last call.
     std::vector<Reply> takeReplies(CallerId caller);
-    /// The only answer that a caller has got since the last call.
+    /// Returns the only reply that a caller has received since the last call; the test fails on any other
+    /// number.
     Reply takeReply(CallerId caller);
-    /// Asks and returns the answer.
+    /// Submits a statement and returns its reply.
     Reply run(CallerId caller, const std::string& id, const std::string& text);
     [[nodiscard]] std::optional<StatementFailure> closeFailure(CallerId caller) const;
     [[nodiscard]] bool isClosed(CallerId caller) const { return this->closedCallers.contains(caller); }
 
-    /// Lets time pass, with a tick every 20 ms.
+    /// Advances the virtual time, with a tick of the engines every 20 ms.
     void advanceTime(Duration duration);
     void renewView();
     void setPrimary(const std::string& upstream, std::uint64_t term);
     void setViewChanging();
-    /// Lets an upstream lead the next term, with all others following it; the view of the primary stays.
+    /// Makes an upstream the primary of the next term, which all others follow; the engines' view stays as it
+    /// is.
     void promote(const std::string& upstream);
     void publishDirectory();
-    /// Puts `routes` in force as their next version.
+    /// Passes `routes` to the engines as their next version.
     void publishRoutes();
 
     ModelUpstream& upstream(const std::string& name) { return this->upstreams.at(UpstreamName { name }); }
     [[nodiscard]] std::size_t openConnections() const { return this->connections.size(); }
     [[nodiscard]] const std::vector<ExecutedStatement>& executed() const { return this->executedStatements; }
-    /// The view of the primary that the engines have.
+    /// The engines' view of the primary.
     [[nodiscard]] const LeaderView& leader() const { return this->view; }
     [[nodiscard]] std::size_t executionCount(const std::string& id) const;
     [[nodiscard]] bool committed(const std::string& id) const { return this->committedWrites.contains(id); }
 
-    /// Holds back everything that the engine sends to upstreams until deliver().
+    /// Holds back all connection attempts and statements to upstreams until deliverHeldActions().
     bool holdUpstreamActions = false;
-    /// Carries out what was held back.
+    /// Performs the actions that were held back.
     void deliverHeldActions();
-    /// Decides about a statement before it runs: a reply in its place, or none to run it.
+    /// Called before an upstream runs a statement. A returned reply is sent in its place and the statement
+    /// does not run.
     std::function<std::optional<Reply>(const ModelConnection&, const UpstreamStatement&)> interceptStatement;
-    /// When it returns true, the connection is lost after the statement ran and before its answer.
+    /// When it returns true, the connection is lost after the statement has run and before its reply.
     std::function<bool(const UpstreamStatement&)> shouldLoseReply;
 
-    /// What becomes of a statement on its way to the home: none to let it arrive.
+    /// Returns how the forwarding of a statement fails, or nothing when it succeeds. When the reply is lost
+    /// the owner still runs the statement.
     std::function<std::optional<HandFailure>(const HandWork&)> failForwarding;
-    /// Nothing gets through to the home; what is handed on waits until restoreOwnerLink().
+    /// True while the link to the owner is cut; forwarded statements wait until restoreOwnerLink().
     bool ownerUnreachable = false;
     void restoreOwnerLink();
     std::size_t livenessChecks = 0;
-    /// Statements that were handed to the home.
+    /// Statements that were forwarded to the owner.
     std::vector<HandedWork> forwarded;
-    /// Guests that the home was told to let go.
+    /// Remote sessions that the owner was told to release.
     std::vector<CallerId> releasedRemoteSessions;
 
-    /// The engine that holds the connections; callers come to it as well unless there is an entry.
+    /// The engine that holds the connections. Callers connect to it unless there is an `entryEngine`.
     SessionEngine engine;
-    /// The engine of the VM that callers come to, when that is another one.
+    /// The engine of the VM that callers connect to when it forwards their statements; null otherwise.
     std::unique_ptr<SessionEngine> entryEngine;
     Instant now { std::chrono::seconds { 100 } };
     std::shared_ptr<RouteTable> routes = std::make_shared<RouteTable>();
     std::vector<AskForTokens> tokenRequests;
-    /// The fields of each line of an event that was logged.
+    /// Returns the fields of each line that was logged for an event.
     [[nodiscard]] std::vector<std::map<std::string, std::string>> loggedEvents(
         const std::string& event) const;
+    /// True while each tick of advanceTime() renews the engines' view of the primary.
     bool keepRenewingView = true;
 
 private:
-    /// A connection is its engine's; both engines number theirs from one.
+    /// Connection ids are unique within one engine only: both engines count from one.
     using ConnectionKey = std::pair<SessionEngine*, ConnectionId>;
     struct PendingForward {
         CallerId caller {};
--- a/tests/pooling/progress_history_test.cpp
+++ b/tests/pooling/progress_history_test.cpp
@@ -14,9 +14,9 @@
 
 } // namespace
 
-TEST_SUITE("what was seen of the primary")
+TEST_SUITE("progress history of the primary")
 {
-    TEST_CASE("the oldest position that is fresh enough is named")
+    TEST_CASE("the oldest position that is fresh enough is selected")
     {
         ProgressHistory history;
         const Instant start { 10s };
@@ -29,10 +29,10 @@
         CHECK_FALSE(history.covering(start + 950ms));
     }
 
-    TEST_CASE("a replica's lag is told from the first position that it lacks")
+    TEST_CASE("a replica's lag is measured from the first position that it lacks")
     {
-        // A replica stopped receiving a while ago. Asking it for every read only to be refused costs each of
-        // them a round trip and fills the upstream.
+        // A replica stopped receiving the log a while ago. Sending it every read only to be refused costs
+        // each of them a round trip and loads the upstream.
         ProgressHistory history;
         const Instant start { 10s };
         for (int index = 0; index < 10; ++index)
@@ -42,9 +42,9 @@
         CHECK(history.lagOf(progressAt(1, 104), start + 1s) == 500ms);
     }
 
-    TEST_CASE("positions of a lower term are forgotten when a higher one is seen")
+    TEST_CASE("positions of a lower term are dropped when a higher one is recorded")
     {
-        // After a promotion the old log may have been cut; a position beyond the cut exists nowhere any more.
+        // A promotion may cut the old log; a position beyond the cut exists on no upstream any more.
         ProgressHistory history;
         history.note({ .progress = progressAt(1, 500), .seenAt = Instant { 10s } });
         history.note({ .progress = progressAt(2, 480), .seenAt = Instant { 11s } });
--- a/tests/pooling/service_owners_test.cpp
+++ b/tests/pooling/service_owners_test.cpp
@@ -26,9 +26,9 @@
 
 } // namespace
 
-TEST_SUITE("homes of a service")
+TEST_SUITE("service owners")
 {
-    TEST_CASE("every VM names the same homes, and the teams spread over them")
+    TEST_CASE("every VM selects the same owners and spreads the teams over all of them")
     {
         GroupHomes one { VmName { "vm-1" }, fleetOf(70) };
         GroupHomes other { VmName { "vm-60" }, fleetOf(70) };
@@ -43,9 +43,9 @@
         CHECK(first.size() == 6);
     }
 
-    TEST_CASE("the homes' connections stay below the cap, with some left for VMs that reach no home")
+    TEST_CASE("owners leave some of the connections to VMs that reach no owner")
     {
-        // Were all connections with the homes, a VM that is cut off from them could serve nobody, and nobody
+        // If the owners held all connections, a VM that is cut off from them could serve no caller, and no VM
         // could ask an upstream whether it is the primary.
         const auto listed = fleetOf(70);
         for (const std::uint32_t connections : { 21U, 34U, 74U, 240U }) {
@@ -58,10 +58,10 @@
         }
     }
 
-    TEST_CASE("a VM that goes moves only the teams it was home for")
+    TEST_CASE("removing a VM moves only the teams that it owned")
     {
-        // A VM dies. If teams of the other homes moved as well, all their connections would be opened anew
-        // at once, and each opening takes the upstream as long as a short statement.
+        // Guards against moving teams of the other owners when a VM dies. All their connections would be
+        // opened again at once, and opening one takes the upstream as long as a short statement.
         auto listed = fleetOf(70);
         GroupHomes before { VmName { "vm-1" }, listed };
         const auto owners = before.of(service, connectionCap);
@@ -76,7 +76,7 @@
         }
     }
 
-    TEST_CASE("a VM with four times the processor is a home about four times as often")
+    TEST_CASE("a VM with four times the cores is an owner about four times as often")
     {
         int strongVms = 0;
         int all = 0;
@@ -88,14 +88,14 @@
                 strongVms += vm.view().size() == 4 && vm.view().back() < '6' ? 1 : 0;
             }
         }
-        // Six of the sixteen VMs among which homes are chosen have three of their 4.2 cores.
+        // Six of the sixteen candidates have 3 of their 4.2 cores.
         CHECK(strongVms > all * 3 / 5);
         CHECK(strongVms < all * 4 / 5);
     }
 
-    TEST_CASE("each of 195 VMs speaks to a few homes, whatever services its callers use")
+    TEST_CASE("each of 195 VMs contacts a few owners whatever services its callers use")
     {
-        // Guards against a link from every VM to most others, with the memory of both ends.
+        // Guards against every VM keeping links to most others, which takes memory at both ends.
         std::map<VmName, VmStrength> listed;
         for (int index = 0; index < 195; ++index)
             listed[VmName { "vm-" + std::to_string(index) }].cores = index < 15 ? 0.5 : 0.12;
@@ -108,7 +108,7 @@
         CHECK(contactedOwners.size() <= 16);
     }
 
-    TEST_CASE("VMs alike share the work of homes among a quarter of them")
+    TEST_CASE("a quarter of equally strong VMs are owners")
     {
         std::map<VmName, VmStrength> listed;
         for (int index = 0; index < 200; ++index)
--- a/tests/pooling/session_engine_test.cpp
+++ b/tests/pooling/session_engine_test.cpp
@@ -17,9 +17,9 @@
 
 } // namespace
 
-TEST_SUITE("sessions of callers")
+TEST_SUITE("caller sessions")
 {
-    TEST_CASE("a statement goes to the upstream with its id and text, and its rows come back with the proof")
+    TEST_CASE("a statement keeps its id and text and returns the upstream's rows and proof")
     {
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
@@ -32,7 +32,7 @@
         CHECK(simulation.executed().front().team == TeamName { "a" });
     }
 
-    TEST_CASE("values and prepared statements follow a session to whichever connection serves it")
+    TEST_CASE("values and prepared statements of a session are set on the connection that serves it")
     {
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
@@ -51,10 +51,10 @@
         CHECK(simulation.openConnections() == 1);
     }
 
-    TEST_CASE("a value that another session left on a connection is dropped before the next statement")
+    TEST_CASE("a value that another session set on a connection is reset before the next statement")
     {
         // Two sessions share one connection, and the first has set a value. Without a reset the second one's
-        // statements would run under it: a user would read with another user's settings and see no error.
+        // statements would run with it: a user would read with another user's settings and see no error.
         PoolSimulation simulation { {} };
         const auto first = simulation.connect();
         const auto second = simulation.connect();
@@ -65,7 +65,7 @@
         CHECK(simulation.executed()[1].values.empty());
     }
 
-    TEST_CASE("a prepared statement whose name is not known is told so and runs nothing")
+    TEST_CASE("an unknown prepared statement is refused and runs nothing")
     {
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
@@ -78,7 +78,7 @@
         CHECK(simulation.executed().empty());
     }
 
-    TEST_CASE("statements sent ahead of their answers are answered in order")
+    TEST_CASE("pipelined statements are answered in order")
     {
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
@@ -96,7 +96,7 @@
         CHECK(replies[2].rows.front() == "row of c/3");
     }
 
-    TEST_CASE("bad messages are told apart: no such database, no such key, an unreadable statement")
+    TEST_CASE("unknown databases, unknown keys and malformed statements get distinct errors")
     {
         PoolSimulation simulation { {} };
         const auto unknownDatabaseCaller = simulation.connect("key-a", "nothing");
@@ -111,10 +111,10 @@
         CHECK_FALSE(simulation.run(caller, "c/3", "READ 1").failure);
     }
 
-    TEST_CASE("a key that was withdrawn stops working on a session that is already open")
+    TEST_CASE("a withdrawn key stops working on a session that is already open")
     {
-        // An operator withdraws a key while its holder is connected. A session that only checked at its start
-        // would go on reading for as long as it stays open.
+        // An operator withdraws a key while its holder is connected. A session that checked the key only at
+        // its start would go on reading for as long as it stays open.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
@@ -124,10 +124,10 @@
         CHECK(simulation.executionCount("c/2") == 0);
     }
 
-    TEST_CASE("an older version of the routes never replaces a newer one")
+    TEST_CASE("an older version of the routes does not replace a newer one")
     {
-        // Two copies of the configuration arrive in the wrong order, one from a sibling that lags. Taking the
-        // older one would bring a withdrawn key back to life.
+        // Two copies of the configuration arrive in the wrong order, one from a sibling that lags. Applying
+        // the older one would make a withdrawn key valid again.
         PoolSimulation simulation { {} };
         auto older = std::make_shared<RouteTable>(*simulation.routes);
         simulation.routes->version = 5;
@@ -140,7 +140,7 @@
 
 TEST_SUITE("transactions")
 {
-    TEST_CASE("a transaction stays on one connection, and its commit is the caller's own statement")
+    TEST_CASE("a transaction stays on one connection and its commit is the caller's own statement")
     {
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
@@ -154,8 +154,7 @@
         CHECK(simulation.committed("c/2"));
     }
 
-    TEST_CASE(
-        "a transaction is opened along with the values of its session, and its statement waits for both")
+    TEST_CASE("a transaction is opened in one round trip with its session's values")
     {
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
@@ -171,10 +170,10 @@
         CHECK_FALSE(simulation.takeReply(caller).failure);
     }
 
-    TEST_CASE("a caller that leaves in the middle of a transaction leaves nothing behind")
+    TEST_CASE("nothing is committed when a caller leaves in the middle of a transaction")
     {
-        // A client crashes between two statements. If its connection went back to the pool with the
-        // transaction open, the next session's first write would commit what the crashed one had written.
+        // A client crashes between two statements. If its connection returned to the pool with the
+        // transaction open, the next session's first write would commit what the crashed client had written.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         simulation.submit(caller, "c/1", "BEGIN");
@@ -186,10 +185,11 @@
         CHECK_FALSE(simulation.committed("c/2"));
     }
 
-    TEST_CASE("a caller that leaves while its transaction is being opened leaves nothing behind")
+    TEST_CASE("nothing is committed when a caller leaves while its transaction is being opened")
     {
-        // The client goes away just as its first statement is on its way: the answer to the opening finds
-        // nobody. Without the drop the connection would go back with a transaction open.
+        // The client disconnects while its first statement is on its way, so no session is left to receive
+        // the reply that opens the transaction. Without a rollback the connection would return to the pool
+        // with the transaction open.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
@@ -205,10 +205,10 @@
         CHECK_FALSE(simulation.committed("c/2"));
     }
 
-    TEST_CASE("a transaction whose connection is lost is dropped, and the caller is told once")
+    TEST_CASE("a transaction whose connection is lost is aborted and the caller is told once")
     {
         // The upstream crashes between two statements of a transaction. The caller's next statement must not
-        // run on another connection outside the transaction, as if nothing had happened.
+        // run on another connection outside the transaction.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         simulation.submit(caller, "c/1", "BEGIN");
@@ -222,9 +222,9 @@
         CHECK_FALSE(simulation.run(caller, "c/6", "READ 2").failure);
     }
 
-    TEST_CASE("a commit whose answer is lost is in doubt if it wrote, and dropped if it only read")
+    TEST_CASE("a lost commit reply means in doubt after a write and aborted after reads only")
     {
-        // The upstream commits and its answer is lost. Telling the caller that nothing was kept would make it
+        // The upstream commits and its reply is lost. A caller that is told that nothing was committed would
         // reserve the bed a second time.
         PoolSimulation simulation { {} };
         const auto writer = simulation.connect();
@@ -245,10 +245,10 @@
         CHECK(errorOf(simulation.run(reader, "r/3", "COMMIT")) == StatementError::Aborted);
     }
 
-    TEST_CASE("a transaction in which the caller rests too long is ended, and its connection serves others")
+    TEST_CASE("a transaction that is idle for too long is ended and its connection is reused")
     {
-        // A client opens a transaction and goes to lunch. With few connections to an upstream a handful of
-        // these would stop everybody else.
+        // A client leaves a transaction open for a long time. With few connections to an upstream, a handful
+        // of these would block all other callers.
         PoolSimulation simulation { { .connectionCap = 2 } };
         const auto caller = simulation.connect();
         simulation.submit(caller, "c/1", "BEGIN");
@@ -262,12 +262,12 @@
     }
 }
 
-TEST_SUITE("what may run twice")
+TEST_SUITE("retries")
 {
-    TEST_CASE("a write whose answer is lost is never sent again")
+    TEST_CASE("a write whose reply is lost is never sent again")
     {
-        // The upstream ran the order and the network lost the answer. Sending it again would place it twice;
-        // the caller is told that nobody knows.
+        // The upstream ran the order and the network lost the reply. Sending it again would place it twice,
+        // so the caller is told that the outcome is unknown.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         simulation.shouldLoseReply = isCallerStatement;
@@ -275,7 +275,7 @@
         CHECK(simulation.executionCount("c/1") == 1);
     }
 
-    TEST_CASE("a read whose answer is lost runs again elsewhere")
+    TEST_CASE("a read whose reply is lost is run again")
     {
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
@@ -289,7 +289,7 @@
         CHECK(simulation.executionCount("c/1") == 2);
     }
 
-    TEST_CASE("a write that the upstream says it did not run is tried again")
+    TEST_CASE("a write that the upstream reports as not run is retried")
     {
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
@@ -306,9 +306,10 @@
         CHECK(simulation.executionCount("c/1") == 1);
     }
 
-    TEST_CASE("a statement that succeeds late has a line that tells where its time went")
+    TEST_CASE("a late success logs how long it waited in the proxy and at the upstream")
     {
-        // A user complains that a search took long. The lines must tell whether it waited here or there.
+        // A user complains about a slow search. The log must tell whether it waited in the proxy or at the
+        // upstream.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
@@ -326,11 +327,10 @@
         CHECK(lines.front().at("upstream_ms") == "250");
     }
 
-    TEST_CASE(
-        "a silent upstream costs its statement no more than the route allows, and a write stays in doubt")
+    TEST_CASE("a write at a silent upstream is in doubt once the statement timeout has passed")
     {
-        // The upstream goes dark with a write on its way. The caller must get a final answer when the
-        // statement's time is over, and not be told that nothing happened.
+        // The upstream stops responding with a write on its way. The caller must get a final reply once the
+        // statement timeout has passed, and must not be told that the write was not run.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
@@ -343,9 +343,9 @@
     }
 }
 
-TEST_SUITE("which upstream may answer")
+TEST_SUITE("upstream selection")
 {
-    TEST_CASE("a read of one's own writes names the position of the write at a replica")
+    TEST_CASE("a read at a replica requires the position of the session's own write")
     {
         PoolSimulation simulation { readOwnWrites };
         const auto caller = simulation.connect();
@@ -362,9 +362,9 @@
         }
     }
 
-    TEST_CASE("a replica that lags refuses, and the read is served by one that does not")
+    TEST_CASE("a read refused by a lagging replica is served by another upstream")
     {
-        // Replication to one replica is held up right after a write. A read there would show the bed as free
+        // Replication to one replica is delayed right after a write. A read there would show the bed as free
         // that the same user has just reserved.
         PoolSimulation simulation { readOwnWrites };
         const auto caller = simulation.connect();
@@ -380,10 +380,11 @@
             CHECK(run.upstream != UpstreamName { "replica-1" });
     }
 
-    TEST_CASE("a bounded read does not trust what was seen of the primary longer ago than its bound")
+    TEST_CASE("a bounded staleness read does not use a position recorded before its bound")
     {
         // No statement has gone to the primary for longer than the bound, and a replica may have fallen
-        // behind since. Reading there unchecked would show listings that are older than promised.
+        // behind since. Reading there without a required position would show listings that are older than
+        // promised.
         PoolSimulation simulation { boundedStaleness };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
@@ -395,11 +396,11 @@
         CHECK(simulation.executed().back().after);
     }
 
-    TEST_CASE("without a view of the primary that holds nothing is written, and the caller is told when to "
-              "come back")
+    TEST_CASE("writes are refused with retry advice "
+              "without a valid view of the primary")
     {
-        // This VM was suspended, or cut off from store and replicas: another upstream may have been promoted
-        // since. A write to the old primary would be acknowledged and lost.
+        // This VM was suspended, or cut off from the store and the replicas, and another upstream may have
+        // been promoted since. A write to the old primary would be acknowledged and lost.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "WRITE 1 x").failure);
@@ -413,11 +414,11 @@
         CHECK(simulation.executionCount("c/2") == 0);
     }
 
-    TEST_CASE("a write that is answered after the view has lapsed is acknowledged only once the view is "
-              "known to have held")
+    TEST_CASE("a write answered after the view expired "
+              "is acknowledged only once the view is confirmed")
     {
-        // The answer comes late, and meanwhile another VM may have promoted a replica that lacks this write.
-        // Passing the success on at once would acknowledge a write that is then lost.
+        // The reply arrives late, and meanwhile another VM may have promoted a replica that lacks this write.
+        // Reporting success at once would acknowledge a write that is then lost.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
@@ -426,7 +427,7 @@
         simulation.submit(caller, "c/1", "WRITE 1 x");
         simulation.now += 1100ms;
         simulation.holdUpstreamActions = false;
-        SUBCASE("it held")
+        SUBCASE("the view is renewed")
         {
             simulation.deliverHeldActions();
             CHECK(simulation.takeReplies(caller).empty());
@@ -441,10 +442,9 @@
         }
     }
 
-    TEST_CASE("while the primary is being replaced writes are refused at once and reads go on at replicas")
+    TEST_CASE("writes are refused at once and replicas serve reads while the primary is replaced")
     {
-        // Holding writes until their time is over would only hide from callers that they should come back
-        // later.
+        // Holding writes until they time out would only delay the advice to retry later.
         PoolSimulation simulation { readOwnWrites };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "WRITE 1 x").failure);
@@ -455,9 +455,9 @@
         CHECK(simulation.executed().back().upstream == UpstreamName { "replica-1" });
     }
 
-    TEST_CASE("positions of the term before do not keep reads from replicas of the new term")
+    TEST_CASE("positions of the previous term do not keep reads from replicas of the new term")
     {
-        // After a failover the session's last write has a position of the old term. Asking replicas for it
+        // After a failover the session's last write has a position of the old term. Requiring it of replicas
         // for ever would send every read of that session to the primary.
         PoolSimulation simulation { readOwnWrites };
         const auto caller = simulation.connect();
@@ -478,7 +478,7 @@
         CHECK(atReplica);
     }
 
-    TEST_CASE("an upstream that announces its end gets no new work")
+    TEST_CASE("a draining upstream gets no new statements")
     {
         PoolSimulation simulation { boundedStaleness };
         const auto caller = simulation.connect();
@@ -492,9 +492,9 @@
     }
 }
 
-TEST_SUITE("scarce connections")
+TEST_SUITE("connection limits")
 {
-    TEST_CASE("connections stay within this VM's share, and work beyond it waits in turn")
+    TEST_CASE("statements beyond this VM's share of the connections wait in a queue")
     {
         PoolSimulation simulation { { .replicas = 0, .connectionCap = 3 } };
         simulation.holdUpstreamActions = true;
@@ -510,8 +510,7 @@
             CHECK_FALSE(simulation.takeReply(caller).failure);
     }
 
-    TEST_CASE(
-        "a connection that is free for another team is closed and opened anew for the team that needs it")
+    TEST_CASE("an idle connection of one team is replaced by one for the team that needs it")
     {
         PoolSimulation simulation { { .replicas = 0, .connectionCap = 2 } };
         const auto first = simulation.connect("key-a");
@@ -522,10 +521,10 @@
         CHECK(simulation.executed()[1].team == TeamName { "b" });
     }
 
-    TEST_CASE("connections that nobody uses are given back")
+    TEST_CASE("idle connections are closed")
     {
-        // All VMs lose power at once. Until their upstreams notice, the connections that were open then stay
-        // taken, and the VMs come back to upstreams that are full of the dead.
+        // All VMs lose power at once. Until the upstreams notice, the connections that were open then stay
+        // taken, and the restarted VMs find all connections of the upstreams in use.
         PoolSimulation simulation { { .replicas = 0, .connectionCap = 9 } };
         simulation.holdUpstreamActions = true;
         std::vector<CallerId> callers;
@@ -544,7 +543,7 @@
         CHECK(simulation.openConnections() == 0);
     }
 
-    TEST_CASE("work that nobody can take within its target is refused, with when to come back")
+    TEST_CASE("a statement that gets no connection within its target latency is refused")
     {
         PoolSimulation simulation { { .replicas = 0, .connectionCap = 2 } };
         simulation.holdUpstreamActions = true;
@@ -559,13 +558,12 @@
     }
 }
 
-TEST_SUITE("limits")
+TEST_SUITE("team limits")
 {
     const PoolSimulation::Options limited { .limits
         = { { TeamName { "a" }, { .ratePerSecond = 10, .burst = 2 } } } };
 
-    TEST_CASE(
-        "an operation beyond this VM's share waits for siblings to give, and goes on with what they give")
+    TEST_CASE("an operation beyond this VM's share waits for tokens from siblings and then runs")
     {
         PoolSimulation simulation { limited };
         simulation.engine.setShares(
@@ -581,10 +579,10 @@
         CHECK_FALSE(simulation.takeReply(caller).failure);
     }
 
-    TEST_CASE("a team that is over its rate everywhere is refused after a short wait and then at once")
+    TEST_CASE("a team over its rate on all VMs is refused after a short wait and then at once")
     {
-        // One team sends several times its rate. Each of its requests that waits holds nothing but costs its
-        // caller time; once siblings have said that nothing is left, the answer is known.
+        // One team sends several times its rate. A waiting request holds no resource but costs its caller
+        // time; once siblings have reported that they have no tokens left, the outcome is known.
         PoolSimulation simulation { limited };
         simulation.engine.setShares(
             { { TeamName { "a" }, { .ratePerSecond = 0.1, .burst = 1 } } }, simulation.now);
@@ -601,10 +599,10 @@
         CHECK(simulation.executed().empty());
     }
 
-    TEST_CASE("an operation that no upstream has run is not counted against its team")
+    TEST_CASE("an operation that no upstream has run does not count against its team's limit")
     {
-        // Upstreams are full and callers come back, as they are told to. If each of their tries counted, a
-        // team that keeps to its rate would be refused for being over it.
+        // Upstreams are full and callers retry as advised. If each of their tries counted, a team that keeps
+        // to its rate would be refused for exceeding it.
         PoolSimulation simulation { { .limits = limited.limits } };
         simulation.engine.setShares(
             { { TeamName { "a" }, { .ratePerSecond = 0.01, .burst = 1 } } }, simulation.now);
@@ -619,7 +617,7 @@
         CHECK_FALSE(simulation.run(caller, "c/6", "WRITE 1 x").failure);
     }
 
-    TEST_CASE("what is given to a sibling is gone here")
+    TEST_CASE("tokens given to a sibling are deducted from this VM's share")
     {
         PoolSimulation simulation { limited };
         simulation.engine.setShares(
@@ -631,9 +629,9 @@
     }
 }
 
-TEST_SUITE("a planned stop")
+TEST_SUITE("planned stop")
 {
-    TEST_CASE("idle sessions are closed, transactions get their time, and nothing that came in is cut")
+    TEST_CASE("a planned stop closes idle sessions and lets open transactions finish")
     {
         PoolSimulation simulation { {} };
         const auto idle = simulation.connect();
--- a/tests/pooling/session_property_test.cpp
+++ b/tests/pooling/session_property_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// What a caller of the property test has been told, and what it has set.
+/// A caller with the session state that it has set and the session phase that it was last told.
 struct TestCaller {
     CallerId id {};
     std::string name;
@@ -21,18 +21,19 @@
     int statements = 0;
     SessionPhase phase = SessionPhase::Idle;
     std::string lastId;
-    /// Writes of the attempt under way, and of those that were promised to leave nothing.
+    /// Ids of the writes of the current transaction or statement. They are kept until the next one starts, so
+    /// that a failure that promises no effect can be checked against them.
     std::vector<std::string> attemptWrites;
 };
 
-/// Plays random callers against the model with random faults.
+/// Submits random statements of several callers to the simulation, with random faults.
 class RandomizedScenario {
 public:
     struct Options {
         bool forwardToOwner = false;
-        /// Upstreams are promoted, and the VMs' view goes on naming the former primary for a while.
+        /// Promotes upstreams while the view of the VMs names the former primary for a while.
         bool promotions = false;
-        /// Nothing gets through to the home for a while, and what was under way arrives late.
+        /// Cuts the link to the owner for a while; statements forwarded meanwhile arrive late.
         bool partitions = false;
         RouteFreshness freshness = ReadOwnWritesRoute { 2500ms };
     };
@@ -124,7 +125,7 @@
             this->checkReplies(testCaller);
     }
 
-    /// The group is served again once its view is right.
+    /// Checks that a write succeeds once the view is up to date and no more faults occur.
     void checkServiceRestored()
     {
         this->simulation.interceptStatement = nullptr;
@@ -136,7 +137,7 @@
         RC_ASSERT(!this->simulation.takeReply(caller).failure.has_value());
     }
 
-    /// A success that rests on the view of the primary comes from the primary of that view.
+    /// Checks that a success that depends on the view of the primary comes from the primary of that view.
     void checkSuccess(const TestCaller& testCaller, const Reply& reply)
     {
         const auto& executed = this->simulation.executed();
@@ -171,7 +172,8 @@
         return reply;
     }
 
-    /// Wherever a statement runs, its session's values and names are in place and nobody else's.
+    /// Checks that the connection has exactly the values of the statement's session, and the prepared
+    /// statement that it executes.
     void checkSessionState(const ModelConnection& connection, const PassStatement& statement)
     {
         const auto name = statement.id.substr(0, statement.id.find('/'));
@@ -273,50 +275,49 @@
 
 TEST_SUITE("sessions under faults")
 {
-    TEST_CASE(
-        "no session sees another's values, names or transaction, no write runs twice, and promises are true")
+    TEST_CASE("sessions stay isolated, no write runs twice and reported outcomes are true")
     {
-        // Sessions of two teams share a few connections while upstreams are full now and then and answers get
-        // lost. A user would notice a mistake as another user's data, a doubled order, or an order that was
-        // refused and placed.
+        // Sessions of two teams share a few connections while upstreams are full now and then and replies get
+        // lost. A user would notice a mistake as another user's data, an order placed twice, or an order that
+        // was reported as refused and yet placed.
         checkProperty("sessions", [](std::uint64_t seed) { RandomizedScenario { seed, {} }.run(); });
     }
 
-    TEST_CASE("the same holds when another VM is the home of the service and does not always answer")
+    TEST_CASE("the same holds when statements are forwarded to an owner that may not reply")
     {
-        // Callers come to one VM and their statements run at another, which is out of reach now and then, or
-        // runs a statement whose answer gets lost. Whatever the first VM says then must be true of what the
+        // Callers connect to one VM and their statements run at another, which is unreachable now and then,
+        // or runs a statement whose reply gets lost. What the first VM reports must be true of what the
         // second one did.
-        checkProperty("sessions through a home", [](std::uint64_t seed) {
+        checkProperty("sessions forwarded to a service owner", [](std::uint64_t seed) {
             RandomizedScenario { seed, { .forwardToOwner = true } }.run();
         });
     }
 
-    TEST_CASE(
-        "the same holds while the home is cut off and reached again, with what was under way arriving late")
+    TEST_CASE("the same holds while the owner is cut off and statements arrive there late")
     {
-        // Guards against a statement that runs twice, or is answered with another's rows, as its home was
-        // given up and ran it all the same.
-        checkProperty("sessions through a home behind partitions", [](std::uint64_t seed) {
+        // Guards against a statement that runs twice, or gets another statement's rows, because its owner was
+        // given up as unreachable and ran it all the same.
+        checkProperty("sessions forwarded to a partitioned service owner", [](std::uint64_t seed) {
             RandomizedScenario { seed, { .forwardToOwner = true, .partitions = true } }.run();
         });
-        checkProperty("sessions through a home behind partitions under such a view", [](std::uint64_t seed) {
-            RandomizedScenario {
-                seed, { .forwardToOwner = true, .promotions = true, .partitions = true }
-            }.run();
-        });
+        checkProperty("sessions forwarded to a partitioned service owner under an outdated view",
+            [](std::uint64_t seed) {
+                RandomizedScenario {
+                    seed, { .forwardToOwner = true, .promotions = true, .partitions = true }
+                }.run();
+            });
     }
 
-    TEST_CASE("what rests on the view of the primary is a success only if the view's primary gave it")
+    TEST_CASE("a success that depends on the view of the primary comes from the view's primary")
     {
-        // Guards against stale reads and lost commits while the view names a former primary for too long.
-        checkProperty("sessions under a view that is out of date", [](std::uint64_t seed) {
+        // Guards against stale reads and lost commits while the view still names a former primary.
+        checkProperty("sessions under an outdated view", [](std::uint64_t seed) {
             RandomizedScenario { seed, { .promotions = true } }.run();
         });
-        checkProperty("sessions of a primary route under such a view", [](std::uint64_t seed) {
+        checkProperty("sessions of a primary route under an outdated view", [](std::uint64_t seed) {
             RandomizedScenario { seed, { .promotions = true, .freshness = PrimaryRoute {} } }.run();
         });
-        checkProperty("sessions through a home under such a view", [](std::uint64_t seed) {
+        checkProperty("sessions forwarded to a service owner under an outdated view", [](std::uint64_t seed) {
             RandomizedScenario { seed, { .forwardToOwner = true, .promotions = true } }.run();
         });
     }
