--- a/tests/pooling/contradicted_view_test.cpp
+++ b/tests/pooling/contradicted_view_test.cpp
@@ -1,4 +1,4 @@
-#include "pool_world.h"
+#include "pool_simulation.h"
 
 #include <doctest/doctest.h>
 
@@ -9,620 +9,625 @@
 
 namespace {
 
-const PoolWorld::Options bounded { .freshness = BoundedStalenessRoute { 1500ms } };
+const PoolSimulation::Options boundedStaleness { .freshness = BoundedStalenessRoute { 1500ms } };
 const UpstreamName formerPrimary { "primary" };
 
-/// A database of the same upstreams whose reads see every commit.
-void addPrimaryRoute(PoolWorld& world)
+/// Adds the database "desk" on the same upstreams, whose reads see every commit.
+void addPrimaryRoute(PoolSimulation& simulation)
 {
-    world.routes->routes["desk"] = world.routes->routes["beds"];
-    world.routes->routes["desk"].freshness = PrimaryRoute {};
-    world.publishRoutes();
+    simulation.routes->routes["desk"] = simulation.routes->routes["beds"];
+    simulation.routes->routes["desk"].freshness = PrimaryRoute {};
+    simulation.publishRoutes();
 }
 
-/// Reads of `caller` until one ran at a replica.
-void readAtReplica(PoolWorld& world, CallerId caller)
+/// Sends reads of `caller` until one has run at a replica.
+void readUntilServedByReplica(PoolSimulation& simulation, CallerId caller)
 {
-    const auto before = world.runs().size();
+    const auto before = simulation.executed().size();
     for (int tries = 0; tries < 8; ++tries) {
-        world.ask(caller, "b/" + std::to_string(before) + '.' + std::to_string(tries), "READ 1");
-        world.pass(40ms);
-        if (!world.runs().empty() && world.runs().back().upstream != formerPrimary)
+        simulation.submit(caller, "b/" + std::to_string(before) + '.' + std::to_string(tries), "READ 1");
+        simulation.advanceTime(40ms);
+        if (!simulation.executed().empty() && simulation.executed().back().upstream != formerPrimary)
             break;
     }
-    REQUIRE(world.runs().size() > before);
-    REQUIRE(world.runs().back().upstream != formerPrimary);
-    world.answers(caller);
+    REQUIRE(simulation.executed().size() > before);
+    REQUIRE(simulation.executed().back().upstream != formerPrimary);
+    simulation.takeReplies(caller);
 }
 
-bool isContradicted(const PoolWorld& world)
+bool isContradicted(const PoolSimulation& simulation)
 {
-    const auto all = world.engine.upstreamHealth();
+    const auto all = simulation.engine.upstreamHealth();
     return std::any_of(all.begin(), all.end(),
         [](const UpstreamHealth& upstreamHealth) { return upstreamHealth.contradictsView; });
 }
 
-/// Reads of `caller` until one came to an upstream of a later term.
-void seeLaterTerm(PoolWorld& world, CallerId caller)
+/// Sends reads of `caller` until the reply of a later term has contradicted the view.
+void readUntilLaterTermSeen(PoolSimulation& simulation, CallerId caller)
 {
-    for (int tries = 0; tries < 8 && !isContradicted(world); ++tries) {
-        world.ask(caller, "b/" + std::to_string(tries), "READ 1");
-        world.pass(40ms);
+    for (int tries = 0; tries < 8 && !isContradicted(simulation); ++tries) {
+        simulation.submit(caller, "b/" + std::to_string(tries), "READ 1");
+        simulation.advanceTime(40ms);
     }
-    REQUIRE(isContradicted(world));
-    world.pass(100ms);
-    world.answers(caller);
+    REQUIRE(isContradicted(simulation));
+    simulation.advanceTime(100ms);
+    simulation.takeReplies(caller);
 }
 
-/// The answer that a caller gets to what it asked within the time in which work waits for a primary.
-Reply answerSoon(PoolWorld& world, CallerId caller)
+/// Returns the reply after the longest time that a statement waits for a valid view of the primary.
+Reply takeReplyAfterWait(PoolSimulation& simulation, CallerId caller)
 {
-    world.pass(80ms);
-    return world.answer(caller);
+    simulation.advanceTime(80ms);
+    return simulation.takeReply(caller);
 }
 
-void checkSentAway(const Reply& reply)
+void checkRefusedWithRetryAdvice(const Reply& reply)
 {
     REQUIRE(reply.failure);
     CHECK(reply.failure->error == StatementError::Busy);
     CHECK(reply.failure->text.find("retry after") != std::string::npos);
 }
 
-/// Answers the next statement with this text in the place of the upstream.
-void answerOnce(PoolWorld& world, const std::string& text, std::optional<Progress> progress,
+/// Replies to the next statement with this text in place of the upstream.
+void replyOnce(PoolSimulation& simulation, const std::string& text, std::optional<Progress> progress,
     SessionPhase phase = SessionPhase::Idle)
 {
-    world.interfere
-        = [=, &world](const ModelConnection&, const UpstreamStatement& statement) -> std::optional<Reply> {
-        const auto* pass = std::get_if<RelayStatement>(&statement);
-        if (pass == nullptr || pass->text != text)
+    simulation.interceptStatement = [=, &simulation](const ModelConnection&,
+                                        const UpstreamStatement& statement) -> std::optional<Reply> {
+        const auto* callerStatement = std::get_if<RelayStatement>(&statement);
+        if (callerStatement == nullptr || callerStatement->text != text)
             return std::nullopt;
         std::optional reply { Reply {
             .rows = { "row" }, .proof = "proof", .phase = phase, .progress = progress } };
-        // This ends what is captured here.
-        world.interfere = nullptr;
+        // Destroys this lambda and its captures, so nothing captured is used after this line.
+        simulation.interceptStatement = nullptr;
         return reply;
     };
 }
 
-Progress at(std::uint64_t term, std::uint64_t position)
+Progress progressAt(std::uint64_t term, std::uint64_t position)
 {
     return { Term { term }, LogPosition { position } };
 }
 
 } // namespace
 
-TEST_SUITE("a view of the primary that answers contradict")
+TEST_SUITE("a view of the primary contradicted by replies")
 {
-    TEST_CASE("after a replica has told a later term nothing is sent to the view's primary")
+    TEST_CASE("nothing is sent to the view's primary after a replica reported a later term")
     {
-        // Guards against reads and writes at a former primary by a VM that has already seen the next one's
-        // term.
-        PoolWorld world { bounded };
-        addPrimaryRoute(world);
-        const auto reader = world.connect();
-        const auto caller = world.connect("key-a", "desk");
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
+        // Guards against a VM that sends reads and writes to a former primary although it has already seen
+        // the next primary's term.
+        PoolSimulation simulation { boundedStaleness };
+        addPrimaryRoute(simulation);
+        const auto reader = simulation.connect();
+        const auto caller = simulation.connect("key-a", "desk");
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
         for (const auto* name : { "replica-1", "replica-2" })
-            world.upstream(name).term = 2;
-        world.upstream("replica-1").primary = true;
-        seeLaterTerm(world, reader);
-        const auto before = world.runs().size();
-        world.ask(caller, "c/2", "READ 1");
-        checkSentAway(answerSoon(world, caller));
-        world.ask(caller, "c/3", "WRITE 1 x");
-        checkSentAway(answerSoon(world, caller));
-        CHECK(world.runs().size() == before);
-        world.lead("replica-1", 2);
-        CHECK_FALSE(world.run(caller, "c/4", "READ 1").failure);
-        CHECK(world.runs().back().upstream == UpstreamName { "replica-1" });
+            simulation.upstream(name).term = 2;
+        simulation.upstream("replica-1").primary = true;
+        readUntilLaterTermSeen(simulation, reader);
+        const auto before = simulation.executed().size();
+        simulation.submit(caller, "c/2", "READ 1");
+        checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+        simulation.submit(caller, "c/3", "WRITE 1 x");
+        checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+        CHECK(simulation.executed().size() == before);
+        simulation.setPrimary("replica-1", 2);
+        CHECK_FALSE(simulation.run(caller, "c/4", "READ 1").failure);
+        CHECK(simulation.executed().back().upstream == UpstreamName { "replica-1" });
     }
 
-    TEST_CASE("a renewal does not bring a contradicted view back, and a later term of the same primary does")
+    TEST_CASE("a later term of the same primary replaces a contradicted view and a renewal does not")
     {
-        // Guards against a view that is renewed past what was seen, and against a primary that is never used
-        // again.
-        PoolWorld world { bounded };
-        addPrimaryRoute(world);
-        const auto reader = world.connect();
-        const auto caller = world.connect("key-a", "desk");
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
-        world.promote("replica-1");
-        world.promote("primary");
-        seeLaterTerm(world, reader);
-        world.setChanging();
-        world.lead("primary", 1);
-        world.ask(caller, "c/2", "WRITE 1 x");
-        checkSentAway(answerSoon(world, caller));
-        CHECK(world.timesRun("c/2") == 0);
-        world.lead("primary", 3);
-        CHECK_FALSE(world.run(caller, "c/3", "WRITE 1 x").failure);
+        // Guards against renewing a view that replies have contradicted, and against a primary that is never
+        // used again.
+        PoolSimulation simulation { boundedStaleness };
+        addPrimaryRoute(simulation);
+        const auto reader = simulation.connect();
+        const auto caller = simulation.connect("key-a", "desk");
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
+        simulation.promote("replica-1");
+        simulation.promote("primary");
+        readUntilLaterTermSeen(simulation, reader);
+        simulation.setViewChanging();
+        simulation.setPrimary("primary", 1);
+        simulation.submit(caller, "c/2", "WRITE 1 x");
+        checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+        CHECK(simulation.executionCount("c/2") == 0);
+        simulation.setPrimary("primary", 3);
+        CHECK_FALSE(simulation.run(caller, "c/3", "WRITE 1 x").failure);
     }
 
-    TEST_CASE("a contradiction that nothing bears out keeps a primary from its callers for seconds only")
+    TEST_CASE("an unconfirmed contradiction makes the primary unavailable for seconds only")
     {
-        // Guards against a VM that never serves a group again after an answer from a term that came to
-        // nothing.
-        PoolWorld world { bounded };
-        addPrimaryRoute(world);
-        const auto reader = world.connect();
-        const auto caller = world.connect("key-a", "desk");
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
+        // Guards against a VM that never serves a group again after a reply from a term that did not last.
+        PoolSimulation simulation { boundedStaleness };
+        addPrimaryRoute(simulation);
+        const auto reader = simulation.connect();
+        const auto caller = simulation.connect("key-a", "desk");
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
         for (const auto* name : { "replica-1", "replica-2" })
-            world.upstream(name).term = 2;
-        seeLaterTerm(world, reader);
+            simulation.upstream(name).term = 2;
+        readUntilLaterTermSeen(simulation, reader);
         for (const auto* name : { "replica-1", "replica-2" })
-            world.upstream(name).term = 1;
-        world.lead("primary", 1);
-        world.ask(caller, "c/2", "WRITE 1 x");
-        checkSentAway(answerSoon(world, caller));
-        world.pass(5s);
-        world.lead("primary", 1);
-        CHECK_FALSE(world.run(caller, "c/3", "WRITE 1 x").failure);
+            simulation.upstream(name).term = 1;
+        simulation.setPrimary("primary", 1);
+        simulation.submit(caller, "c/2", "WRITE 1 x");
+        checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+        simulation.advanceTime(5s);
+        simulation.setPrimary("primary", 1);
+        CHECK_FALSE(simulation.run(caller, "c/3", "WRITE 1 x").failure);
     }
 
-    TEST_CASE("a statement is not sent on a connection whose greeting comes from a later term")
+    TEST_CASE("a statement is not sent on a connection whose greeting reports a later term")
     {
-        // Guards against running a statement at a former primary that has told its term when the connection
-        // opened.
-        PoolWorld world { {} };
-        world.promote("replica-1");
-        const auto caller = world.connect();
-        world.ask(caller, "c/1", "READ 1");
-        checkSentAway(answerSoon(world, caller));
-        CHECK(world.timesRun("c/1") == 0);
+        // Guards against running a statement at a former primary that reported the later term when the
+        // connection opened.
+        PoolSimulation simulation { {} };
+        simulation.promote("replica-1");
+        const auto caller = simulation.connect();
+        simulation.submit(caller, "c/1", "READ 1");
+        checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+        CHECK(simulation.executionCount("c/1") == 0);
     }
 
-    TEST_CASE("a transaction that rests on a contradicted view reads no more")
+    TEST_CASE("a transaction that depends on a contradicted view is aborted at its next read")
     {
-        // Guards against reads on a snapshot that may have been taken when the next primary led already.
-        PoolWorld world { bounded };
-        addPrimaryRoute(world);
-        const auto reader = world.connect();
-        const auto caller = world.connect("key-a", "desk");
-        SUBCASE("one for reading") { CHECK_FALSE(world.run(caller, "c/1", "BEGIN READ").failure); }
-        SUBCASE("one for writing") { CHECK_FALSE(world.run(caller, "c/1", "BEGIN").failure); }
-        CHECK_FALSE(world.run(caller, "c/2", "READ 1").failure);
+        // Guards against reads on a snapshot that may have been taken after the next primary was promoted.
+        PoolSimulation simulation { boundedStaleness };
+        addPrimaryRoute(simulation);
+        const auto reader = simulation.connect();
+        const auto caller = simulation.connect("key-a", "desk");
+        SUBCASE("read-only") { CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN READ").failure); }
+        SUBCASE("read-write") { CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN").failure); }
+        CHECK_FALSE(simulation.run(caller, "c/2", "READ 1").failure);
         for (const auto* name : { "replica-1", "replica-2" })
-            world.upstream(name).term = 2;
-        seeLaterTerm(world, reader);
-        const auto reply = world.run(caller, "c/3", "READ 1");
+            simulation.upstream(name).term = 2;
+        readUntilLaterTermSeen(simulation, reader);
+        const auto reply = simulation.run(caller, "c/3", "READ 1");
         CHECK(errorOf(reply) == StatementError::Aborted);
         CHECK(reply.phase == SessionPhase::FailedTransaction);
-        CHECK(world.timesRun("c/3") == 0);
+        CHECK(simulation.executionCount("c/3") == 0);
     }
 
-    TEST_CASE("a primary that refuses to act as one is not read at as one")
+    TEST_CASE("no primary read goes to an upstream that refused to act as the primary")
     {
-        // Guards against reads of primary routes at an upstream that has answered READONLY under the same
+        // Guards against reads of primary routes at an upstream that has replied READONLY under the same
         // view.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        world.upstream("primary").primary = false;
-        SUBCASE("to a write") { world.ask(caller, "c/1", "WRITE 1 x"); }
-        SUBCASE("to the opening of a transaction")
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        simulation.upstream("primary").primary = false;
+        SUBCASE("refuses a write") { simulation.submit(caller, "c/1", "WRITE 1 x"); }
+        SUBCASE("refuses to open a transaction")
         {
-            CHECK_FALSE(world.run(caller, "c/b", "BEGIN").failure);
-            world.ask(caller, "c/1", "WRITE 1 x");
+            CHECK_FALSE(simulation.run(caller, "c/b", "BEGIN").failure);
+            simulation.submit(caller, "c/1", "WRITE 1 x");
         }
-        SUBCASE("within a transaction")
+        SUBCASE("refuses a write in an open transaction")
         {
-            world.upstream("primary").primary = true;
-            CHECK_FALSE(world.run(caller, "c/b", "BEGIN").failure);
-            CHECK_FALSE(world.run(caller, "c/w", "WRITE 1 x").failure);
-            world.upstream("primary").primary = false;
-            world.ask(caller, "c/1", "WRITE 1 x");
+            simulation.upstream("primary").primary = true;
+            CHECK_FALSE(simulation.run(caller, "c/b", "BEGIN").failure);
+            CHECK_FALSE(simulation.run(caller, "c/w", "WRITE 1 x").failure);
+            simulation.upstream("primary").primary = false;
+            simulation.submit(caller, "c/1", "WRITE 1 x");
         }
-        world.pass(300ms);
-        CHECK(world.answer(caller).failure);
-        const auto other = world.connect();
-        world.ask(other, "o/1", "READ 1");
-        checkSentAway(answerSoon(world, other));
-        CHECK(world.timesRun("o/1") == 0);
+        simulation.advanceTime(300ms);
+        CHECK(simulation.takeReply(caller).failure);
+        const auto other = simulation.connect();
+        simulation.submit(other, "o/1", "READ 1");
+        checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, other));
+        CHECK(simulation.executionCount("o/1") == 0);
     }
 
-    TEST_CASE("a write that a transaction for reading refuses says nothing of who leads")
+    TEST_CASE("a write refused in a read-only transaction does not contradict the view")
     {
-        // Guards against one caller's mistake that would take a healthy primary out of service.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "BEGIN READ").failure);
-        CHECK_FALSE(world.run(caller, "c/2", "READ 1").failure);
-        world.interfere = [](const ModelConnection&, const UpstreamStatement& statement) {
+        // Guards against one caller's mistake taking a healthy primary out of service.
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN READ").failure);
+        CHECK_FALSE(simulation.run(caller, "c/2", "READ 1").failure);
+        simulation.interceptStatement = [](const ModelConnection&, const UpstreamStatement& statement) {
             std::optional<Reply> refused;
             if (std::holds_alternative<RelayStatement>(statement))
                 refused = Reply { .failure = StatementFailure { StatementError::ReadOnly, "no" },
                     .phase = SessionPhase::FailedTransaction };
             return refused;
         };
-        CHECK(world.run(caller, "c/3", "WRITE 1 x").failure);
-        world.interfere = nullptr;
-        const auto other = world.connect();
-        CHECK_FALSE(world.run(other, "o/1", "WRITE 1 x").failure);
+        CHECK(simulation.run(caller, "c/3", "WRITE 1 x").failure);
+        simulation.interceptStatement = nullptr;
+        const auto other = simulation.connect();
+        CHECK_FALSE(simulation.run(other, "o/1", "WRITE 1 x").failure);
     }
 
-    TEST_CASE("a refusal of what was sent under an earlier view says nothing of the present one")
+    TEST_CASE("a refusal of a statement sent under an earlier view does not contradict the view")
     {
-        // Guards against a late READONLY that would take a primary out of service which leads again.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        world.holding = true;
-        world.ask(caller, "c/1", "WRITE 1 x");
-        world.lead("replica-1", 2);
-        world.upstream("primary").term = 3;
-        world.lead("primary", 3);
-        world.interfere = [&world](const ModelConnection&, const UpstreamStatement& statement) {
-            std::optional<Reply> refused;
-            if (std::holds_alternative<RelayStatement>(statement)) {
-                refused = Reply { .failure = StatementFailure { StatementError::ReadOnly, "no" } };
-                world.interfere = nullptr;
-            }
-            return refused;
-        };
-        world.holding = false;
-        world.deliver();
-        world.pass(40ms);
-        CHECK_FALSE(world.answer(caller).failure);
+        // Guards against a late READONLY reply taking a primary out of service that has been promoted again
+        // since.
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        simulation.holdUpstreamActions = true;
+        simulation.submit(caller, "c/1", "WRITE 1 x");
+        simulation.setPrimary("replica-1", 2);
+        simulation.upstream("primary").term = 3;
+        simulation.setPrimary("primary", 3);
+        simulation.interceptStatement
+            = [&simulation](const ModelConnection&, const UpstreamStatement& statement) {
+                  std::optional<Reply> refused;
+                  if (std::holds_alternative<RelayStatement>(statement)) {
+                      refused = Reply { .failure = StatementFailure { StatementError::ReadOnly, "no" } };
+                      simulation.interceptStatement = nullptr;
+                  }
+                  return refused;
+              };
+        simulation.holdUpstreamActions = false;
+        simulation.deliverHeldActions();
+        simulation.advanceTime(40ms);
+        CHECK_FALSE(simulation.takeReply(caller).failure);
     }
 
-    TEST_CASE("the control side is told until a view comes that is not contradicted")
+    TEST_CASE("a contradiction is reported until a view arrives that is not contradicted")
     {
-        // Guards against a later term that is forgotten with the first new view, though that one is older
-        // still.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
-        CHECK_FALSE(isContradicted(world));
-        world.promote("replica-1");
-        world.promote("replica-2");
-        world.ask(caller, "c/2", "READ 1");
-        world.pass(80ms);
-        CHECK(isContradicted(world));
-        world.lead("replica-1", 2);
-        CHECK(isContradicted(world));
-        world.lead("replica-2", 3);
-        CHECK_FALSE(isContradicted(world));
+        // Guards against forgetting the later term with the first new view although that view is older still.
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
+        CHECK_FALSE(isContradicted(simulation));
+        simulation.promote("replica-1");
+        simulation.promote("replica-2");
+        simulation.submit(caller, "c/2", "READ 1");
+        simulation.advanceTime(80ms);
+        CHECK(isContradicted(simulation));
+        simulation.setPrimary("replica-1", 2);
+        CHECK(isContradicted(simulation));
+        simulation.setPrimary("replica-2", 3);
+        CHECK_FALSE(isContradicted(simulation));
     }
 }
 
-TEST_SUITE("reads that rest on a view of the primary")
+TEST_SUITE("reads that depend on a view of the primary")
 {
-    TEST_CASE("a read that a former primary answers from the next term is not delivered")
+    TEST_CASE("a read that a former primary answers in the next term is not delivered")
     {
-        // Guards against the stale read at a former primary that follows the next term and lacks a commit of
-        // it.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        world.promote("replica-1");
-        world.ask(caller, "c/1", "READ 1");
-        CHECK(world.answers(caller).empty());
-        SUBCASE("the view of the next primary comes in time")
+        // Guards against a stale read at a former primary that follows the next term and lacks one of its
+        // commits.
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        simulation.promote("replica-1");
+        simulation.submit(caller, "c/1", "READ 1");
+        CHECK(simulation.takeReplies(caller).empty());
+        SUBCASE("the view of the next primary arrives in time")
         {
-            world.lead("replica-1", 2);
-            CHECK_FALSE(world.answer(caller).failure);
-            CHECK(world.runs().back().upstream == UpstreamName { "replica-1" });
+            simulation.setPrimary("replica-1", 2);
+            CHECK_FALSE(simulation.takeReply(caller).failure);
+            CHECK(simulation.executed().back().upstream == UpstreamName { "replica-1" });
         }
-        SUBCASE("it does not")
+        SUBCASE("the view of the next primary does not arrive")
         {
-            checkSentAway(answerSoon(world, caller));
-            CHECK(world.timesRun("c/1") == 1);
+            checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+            CHECK(simulation.executionCount("c/1") == 1);
         }
     }
 
-    TEST_CASE("a read is judged by the view under which it was sent")
+    TEST_CASE("a read is checked against the view under which it was sent")
     {
-        // Guards against a stale read whose answer comes when the view of the next term is already there.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        world.holding = true;
-        world.ask(caller, "c/1", "READ 1");
-        world.promote("replica-1");
-        world.lead("replica-1", 2);
-        world.holding = false;
-        world.deliver();
-        CHECK_FALSE(world.answer(caller).failure);
-        CHECK(world.runs().back().upstream == UpstreamName { "replica-1" });
+        // Guards against a stale read whose reply arrives after the view of the next term.
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        simulation.holdUpstreamActions = true;
+        simulation.submit(caller, "c/1", "READ 1");
+        simulation.promote("replica-1");
+        simulation.setPrimary("replica-1", 2);
+        simulation.holdUpstreamActions = false;
+        simulation.deliverHeldActions();
+        CHECK_FALSE(simulation.takeReply(caller).failure);
+        CHECK(simulation.executed().back().upstream == UpstreamName { "replica-1" });
     }
 
-    TEST_CASE("a bounded read that named no position is judged like one of a primary route")
+    TEST_CASE("a bounded staleness read without a position is checked like a primary read")
     {
-        // Guards against a bounded read at a former primary that may be behind by more than the bound.
-        PoolWorld world { bounded };
-        const auto caller = world.connect();
-        world.interfere = [&world](const ModelConnection&, const UpstreamStatement& statement) {
-            if (std::holds_alternative<RelayStatement>(statement) && world.runs().empty())
-                world.promote("replica-1");
-            world.interfere = nullptr;
-            return std::optional<Reply> {};
-        };
-        world.ask(caller, "c/1", "READ 1");
-        const auto reply = answerSoon(world, caller);
-        REQUIRE_FALSE(world.runs().front().after);
-        CHECK((reply.failure || world.runs().back().after));
+        // Guards against a bounded staleness read at a former primary that may be behind by more than the
+        // bound.
+        PoolSimulation simulation { boundedStaleness };
+        const auto caller = simulation.connect();
+        simulation.interceptStatement
+            = [&simulation](const ModelConnection&, const UpstreamStatement& statement) {
+                  if (std::holds_alternative<RelayStatement>(statement) && simulation.executed().empty())
+                      simulation.promote("replica-1");
+                  simulation.interceptStatement = nullptr;
+                  return std::optional<Reply> {};
+              };
+        simulation.submit(caller, "c/1", "READ 1");
+        const auto reply = takeReplyAfterWait(simulation, caller);
+        REQUIRE_FALSE(simulation.executed().front().after);
+        CHECK((reply.failure || simulation.executed().back().after));
     }
 
-    TEST_CASE("a bounded read that named a position is delivered whatever term answers")
+    TEST_CASE("a bounded staleness read with a position is delivered whatever term answers")
     {
-        // Guards against refusing reads at replicas during a failover, whose freshness rests on no view.
-        PoolWorld world { bounded };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
-        world.setChanging();
-        world.promote("replica-1");
+        // Guards against refusing reads at replicas during a failover; their freshness does not depend on a
+        // view.
+        PoolSimulation simulation { boundedStaleness };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
+        simulation.setViewChanging();
+        simulation.promote("replica-1");
         for (int index = 0; index < 4; ++index)
-            CHECK_FALSE(world.run(caller, "c/r" + std::to_string(index), "READ 1").failure);
+            CHECK_FALSE(simulation.run(caller, "c/r" + std::to_string(index), "READ 1").failure);
     }
 
-    TEST_CASE("a transaction for reading is not opened at a former primary")
+    TEST_CASE("a read-only transaction is not opened at a former primary")
     {
-        // Guards against a snapshot taken at a former primary, at which all reads of the transaction would
-        // run.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        CHECK_FALSE(world.run(caller, "c/1", "BEGIN READ").failure);
-        world.promote("replica-1");
-        world.ask(caller, "c/2", "READ 1");
-        SUBCASE("it waits for the view of the next primary")
+        // Guards against a snapshot taken at a former primary, where all reads of the transaction would run.
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN READ").failure);
+        simulation.promote("replica-1");
+        simulation.submit(caller, "c/2", "READ 1");
+        SUBCASE("waits for the view of the next primary")
         {
-            world.lead("replica-1", 2);
-            CHECK_FALSE(world.answer(caller).failure);
-            CHECK(world.runs().back().upstream == UpstreamName { "replica-1" });
-            CHECK_FALSE(world.run(caller, "c/3", "COMMIT").failure);
+            simulation.setPrimary("replica-1", 2);
+            CHECK_FALSE(simulation.takeReply(caller).failure);
+            CHECK(simulation.executed().back().upstream == UpstreamName { "replica-1" });
+            CHECK_FALSE(simulation.run(caller, "c/3", "COMMIT").failure);
         }
-        SUBCASE("without one it is sent away")
+        SUBCASE("is refused without a view of the next primary")
         {
-            checkSentAway(answerSoon(world, caller));
-            CHECK(world.timesRun("c/2") == 0);
+            checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+            CHECK(simulation.executionCount("c/2") == 0);
         }
     }
 
-    TEST_CASE("a transaction whose read is answered from a later term is dropped")
+    TEST_CASE("a transaction is aborted when its read is answered in a later term")
     {
-        // Guards against a stale read within a transaction, and against keeping what such a transaction
-        // wrote.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        SUBCASE("one for reading")
+        // Guards against a stale read in a transaction, and against committing the writes of such a
+        // transaction.
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        SUBCASE("read-only")
         {
-            CHECK_FALSE(world.run(caller, "c/1", "BEGIN READ").failure);
-            CHECK_FALSE(world.run(caller, "c/2", "READ 1").failure);
-            world.promote("replica-1");
+            CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN READ").failure);
+            CHECK_FALSE(simulation.run(caller, "c/2", "READ 1").failure);
+            simulation.promote("replica-1");
         }
-        SUBCASE("one that has written")
+        SUBCASE("with a write")
         {
-            CHECK_FALSE(world.run(caller, "c/1", "BEGIN").failure);
-            CHECK_FALSE(world.run(caller, "c/2", "WRITE 1 x").failure);
-            answerOnce(world, "READ 9", at(2, 90), SessionPhase::InTransaction);
+            CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN").failure);
+            CHECK_FALSE(simulation.run(caller, "c/2", "WRITE 1 x").failure);
+            replyOnce(simulation, "READ 9", progressAt(2, 90), SessionPhase::InTransaction);
         }
-        const auto reply = world.run(caller, "c/3", "READ 9");
+        const auto reply = simulation.run(caller, "c/3", "READ 9");
         CHECK(errorOf(reply) == StatementError::Aborted);
         CHECK(reply.phase == SessionPhase::FailedTransaction);
-        CHECK_FALSE(world.run(caller, "c/4", "ROLLBACK").failure);
-        world.pass(100ms);
-        CHECK_FALSE(world.committed("c/2"));
+        CHECK_FALSE(simulation.run(caller, "c/4", "ROLLBACK").failure);
+        simulation.advanceTime(100ms);
+        CHECK_FALSE(simulation.committed("c/2"));
     }
 
-    TEST_CASE("a transaction that named a position goes on whatever term answers")
+    TEST_CASE("a transaction opened with a position continues whatever term answers")
     {
-        // Guards against dropping transactions at replicas in every failover.
-        PoolWorld world { bounded };
-        const auto reader = world.connect();
-        CHECK_FALSE(world.run(reader, "r/1", "READ 1").failure);
-        readAtReplica(world, reader);
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "BEGIN READ").failure);
-        CHECK_FALSE(world.run(caller, "c/2", "READ 1").failure);
-        REQUIRE(world.runs().back().upstream != formerPrimary);
-        world.promote("replica-1");
-        CHECK_FALSE(world.run(caller, "c/3", "READ 1").failure);
-        CHECK_FALSE(world.run(caller, "c/4", "COMMIT").failure);
+        // Guards against aborting transactions at replicas in every failover.
+        PoolSimulation simulation { boundedStaleness };
+        const auto reader = simulation.connect();
+        CHECK_FALSE(simulation.run(reader, "r/1", "READ 1").failure);
+        readUntilServedByReplica(simulation, reader);
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN READ").failure);
+        CHECK_FALSE(simulation.run(caller, "c/2", "READ 1").failure);
+        REQUIRE(simulation.executed().back().upstream != formerPrimary);
+        simulation.promote("replica-1");
+        CHECK_FALSE(simulation.run(caller, "c/3", "READ 1").failure);
+        CHECK_FALSE(simulation.run(caller, "c/4", "COMMIT").failure);
     }
 }
 
-TEST_SUITE("commits that rest on a view of the primary")
+TEST_SUITE("commits that depend on a view of the primary")
 {
-    TEST_CASE("a write that is answered from a later term is a success only once a view of that term holds")
+    TEST_CASE("a write answered in a later term succeeds only once a view of that term is valid")
     {
-        // Guards against acknowledging a write under a view that its own answer shows to be out of date.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        answerOnce(world, "WRITE 1 x", at(3, 101));
-        world.ask(caller, "c/1", "WRITE 1 x");
-        CHECK(world.answers(caller).empty());
-        SUBCASE("that view comes")
+        // Guards against acknowledging a write under a view that the reply itself shows to be out of date.
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        replyOnce(simulation, "WRITE 1 x", progressAt(3, 101));
+        simulation.submit(caller, "c/1", "WRITE 1 x");
+        CHECK(simulation.takeReplies(caller).empty());
+        SUBCASE("that view arrives")
         {
-            world.pass(200ms);
-            world.lead("primary", 3);
-            CHECK_FALSE(world.answer(caller).failure);
+            simulation.advanceTime(200ms);
+            simulation.setPrimary("primary", 3);
+            CHECK_FALSE(simulation.takeReply(caller).failure);
         }
-        SUBCASE("another one comes")
+        SUBCASE("another view arrives")
         {
-            world.lead("replica-1", 4);
-            CHECK(errorOf(world.answer(caller)) == StatementError::InDoubt);
+            simulation.setPrimary("replica-1", 4);
+            CHECK(errorOf(simulation.takeReply(caller)) == StatementError::InDoubt);
         }
-        SUBCASE("none comes")
+        SUBCASE("no view arrives")
         {
-            world.pass(900ms);
-            CHECK(errorOf(world.answer(caller)) == StatementError::InDoubt);
+            simulation.advanceTime(900ms);
+            CHECK(errorOf(simulation.takeReply(caller)) == StatementError::InDoubt);
         }
     }
 
-    TEST_CASE("a commit that is answered from a later term is held like a write")
+    TEST_CASE("a commit answered in a later term is held like a write")
     {
-        // Guards against the same for transactions, whose commit must be in doubt and not dropped.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "BEGIN").failure);
-        CHECK_FALSE(world.run(caller, "c/2", "WRITE 1 x").failure);
-        answerOnce(world, "COMMIT", at(3, 101));
-        world.ask(caller, "c/3", "COMMIT");
-        CHECK(world.answers(caller).empty());
-        world.pass(900ms);
-        const auto reply = world.answer(caller);
+        // Guards against acknowledging a commit under a view that its reply shows to be out of date. Without
+        // a valid view the commit is in doubt, not aborted.
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN").failure);
+        CHECK_FALSE(simulation.run(caller, "c/2", "WRITE 1 x").failure);
+        replyOnce(simulation, "COMMIT", progressAt(3, 101));
+        simulation.submit(caller, "c/3", "COMMIT");
+        CHECK(simulation.takeReplies(caller).empty());
+        simulation.advanceTime(900ms);
+        const auto reply = simulation.takeReply(caller);
         CHECK(errorOf(reply) == StatementError::InDoubt);
         CHECK(reply.phase == SessionPhase::Idle);
     }
 
-    TEST_CASE("a write of an earlier term is not a success because its upstream leads once more")
+    TEST_CASE("a write of an earlier term is in doubt although its upstream leads again")
     {
-        // Guards against acknowledging a write that two promotions may have cut from the log in between.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        world.holding = true;
-        world.ask(caller, "c/1", "WRITE 1 x");
-        world.lead("replica-1", 2);
-        world.lead("primary", 3);
-        world.holding = false;
-        world.deliver();
-        world.pass(20ms);
-        CHECK(errorOf(world.answer(caller)) == StatementError::InDoubt);
+        // Guards against acknowledging a write that two promotions in between may have cut from the log.
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        simulation.holdUpstreamActions = true;
+        simulation.submit(caller, "c/1", "WRITE 1 x");
+        simulation.setPrimary("replica-1", 2);
+        simulation.setPrimary("primary", 3);
+        simulation.holdUpstreamActions = false;
+        simulation.deliverHeldActions();
+        simulation.advanceTime(20ms);
+        CHECK(errorOf(simulation.takeReply(caller)) == StatementError::InDoubt);
     }
 
-    TEST_CASE("a write that no view can confirm any more is in doubt at once")
+    TEST_CASE("a write is in doubt at once when no view can confirm it any more")
     {
-        // Guards against keeping a caller waiting for a view that cannot come.
-        PoolWorld world { {} };
-        const auto writer = world.connect();
-        const auto other = world.connect();
-        const auto askBoth = [&](const std::string& second) {
-            world.holding = true;
-            world.ask(writer, "w/" + second, "WRITE 1 x");
-            world.ask(other, "o/" + second, second);
-            world.holding = false;
+        // Guards against keeping a caller waiting for a view that cannot arrive.
+        PoolSimulation simulation { {} };
+        const auto writer = simulation.connect();
+        const auto other = simulation.connect();
+        const auto submitBoth = [&](const std::string& second) {
+            simulation.holdUpstreamActions = true;
+            simulation.submit(writer, "w/" + second, "WRITE 1 x");
+            simulation.submit(other, "o/" + second, second);
+            simulation.holdUpstreamActions = false;
         };
-        askBoth("READ 1");
-        world.deliver();
-        CHECK_FALSE(world.answer(writer).failure);
-        CHECK_FALSE(world.answer(other).failure);
-        world.renewing = false;
-        const auto answerWith = [&world](const std::string& text, const Reply& reply) {
-            world.interfere = [text, reply, before = world.interfere](
-                                  const ModelConnection& connection, const UpstreamStatement& statement) {
-                const auto* pass = std::get_if<RelayStatement>(&statement);
-                if (pass != nullptr && pass->text == text)
-                    return std::optional { reply };
-                return before ? before(connection, statement) : std::nullopt;
-            };
+        submitBoth("READ 1");
+        simulation.deliverHeldActions();
+        CHECK_FALSE(simulation.takeReply(writer).failure);
+        CHECK_FALSE(simulation.takeReply(other).failure);
+        simulation.keepRenewingView = false;
+        const auto replyWith = [&simulation](const std::string& text, const Reply& reply) {
+            simulation.interceptStatement
+                = [text, reply, before = simulation.interceptStatement](
+                      const ModelConnection& connection, const UpstreamStatement& statement) {
+                      const auto* callerStatement = std::get_if<RelayStatement>(&statement);
+                      if (callerStatement != nullptr && callerStatement->text == text)
+                          return std::optional { reply };
+                      return before ? before(connection, statement) : std::nullopt;
+                  };
         };
-        SUBCASE("as a term later than its own was seen")
+        SUBCASE("a term later than its own was seen")
         {
-            askBoth("READ 2");
-            answerWith("WRITE 1 x", { .proof = "proof", .progress = at(3, 101) });
-            answerWith("READ 2", { .proof = "proof", .progress = at(4, 101) });
+            submitBoth("READ 2");
+            replyWith("WRITE 1 x", { .proof = "proof", .progress = progressAt(3, 101) });
+            replyWith("READ 2", { .proof = "proof", .progress = progressAt(4, 101) });
         }
-        SUBCASE("as its upstream has refused to act as the primary")
+        SUBCASE("its upstream refused to act as the primary")
         {
-            askBoth("WRITE 2 y");
-            world.now += 1100ms;
-            answerWith("WRITE 2 y", { .failure = StatementFailure { StatementError::ReadOnly, "no" } });
+            submitBoth("WRITE 2 y");
+            simulation.now += 1100ms;
+            replyWith("WRITE 2 y", { .failure = StatementFailure { StatementError::ReadOnly, "no" } });
         }
-        world.deliver();
-        world.pass(20ms);
-        CHECK(errorOf(world.answer(writer)) == StatementError::InDoubt);
+        simulation.deliverHeldActions();
+        simulation.advanceTime(20ms);
+        CHECK(errorOf(simulation.takeReply(writer)) == StatementError::InDoubt);
     }
 
-    TEST_CASE("a write whose answer tells no position waits for the view like any other")
+    TEST_CASE("a write whose reply has no position waits for a valid view like any other")
     {
-        // Guards against a success without a view that holds, for want of a position to compare.
-        PoolWorld world { {} };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        world.renewing = false;
-        world.holding = true;
-        world.ask(caller, "c/1", "WRITE 1 x");
-        world.now += 1100ms;
-        world.holding = false;
-        answerOnce(world, "WRITE 1 x", std::nullopt);
-        world.deliver();
-        CHECK(world.answers(caller).empty());
-        SUBCASE("it held")
+        // Guards against a success without a valid view when there is no position to compare.
+        PoolSimulation simulation { {} };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        simulation.keepRenewingView = false;
+        simulation.holdUpstreamActions = true;
+        simulation.submit(caller, "c/1", "WRITE 1 x");
+        simulation.now += 1100ms;
+        simulation.holdUpstreamActions = false;
+        replyOnce(simulation, "WRITE 1 x", std::nullopt);
+        simulation.deliverHeldActions();
+        CHECK(simulation.takeReplies(caller).empty());
+        SUBCASE("the view is renewed")
         {
-            world.renewLeader();
-            CHECK_FALSE(world.answer(caller).failure);
+            simulation.renewView();
+            CHECK_FALSE(simulation.takeReply(caller).failure);
         }
         SUBCASE("another upstream leads")
         {
-            world.lead("replica-1", 2);
-            CHECK(errorOf(world.answer(caller)) == StatementError::InDoubt);
+            simulation.setPrimary("replica-1", 2);
+            CHECK(errorOf(simulation.takeReply(caller)) == StatementError::InDoubt);
         }
     }
 }
 
-TEST_SUITE("terms that siblings tell")
+TEST_SUITE("terms reported by siblings")
 {
-    TEST_CASE("a home does not read at its view's primary for a session that has written in a later term")
+    TEST_CASE("an owner does not read at its view's primary for a session with a later term")
     {
-        // Guards against a session that misses its own write at a home whose view is out of date.
-        PoolWorld world { { .freshness = ReadOwnWritesRoute { 2500ms } } };
-        const auto first = world.connect();
-        CHECK_FALSE(world.run(first, "f/1", "READ 1").failure);
+        // Guards against a session that misses its own write at an owner whose view is out of date.
+        PoolSimulation simulation { { .freshness = ReadOwnWritesRoute { 2500ms } } };
+        const auto first = simulation.connect();
+        CHECK_FALSE(simulation.run(first, "f/1", "READ 1").failure);
         ForwardedStatement work { .remoteSession = CallerId { 77 },
             .query = { .id = "g/1", .text = "READ 1", .statement = ReadItem {} },
             .team = TeamName { "a" },
-            .route = world.routes->routes.at("beds"),
-            .requiredProgress = at(2, 101) };
-        world.engine.forwardedStatementReceived(work, world.now);
-        world.pass(100ms);
-        CHECK(world.timesRun("g/1") == 0);
+            .route = simulation.routes->routes.at("beds"),
+            .requiredProgress = progressAt(2, 101) };
+        simulation.engine.forwardedStatementReceived(work, simulation.now);
+        simulation.advanceTime(100ms);
+        CHECK(simulation.executionCount("g/1") == 0);
     }
 
-    TEST_CASE("what a home answers from a later term ends the view of the VM that handed it on")
+    TEST_CASE("an owner's reply from a later term contradicts the view of the forwarding VM")
     {
-        // Guards against a VM that runs work itself under a view that its home has shown to be out of date.
-        PoolWorld world { { .throughHome = true } };
-        const auto caller = world.connect();
-        world.promote("replica-1");
-        world.engine.setLeader(ServiceName { "register" },
+        // Guards against a VM that runs statements itself under a view that the owner has shown to be out of
+        // date.
+        PoolSimulation simulation { { .forwardToOwner = true } };
+        const auto caller = simulation.connect();
+        simulation.promote("replica-1");
+        simulation.engine.setLeader(ServiceName { "register" },
             { .phase = LeaderView::Phase::Settled,
                 .primary = UpstreamName { "replica-1" },
                 .term = Term { 2 },
-                .expiresAt = world.now + 1s },
-            world.now);
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
-        world.failHanding
+                .expiresAt = simulation.now + 1s },
+            simulation.now);
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
+        simulation.failForwarding
             = [](const ForwardStatement&) { return std::optional { ForwardFailure::NotAccepted }; };
-        world.renewing = false;
-        world.ask(caller, "c/2", "READ 1");
-        checkSentAway(answerSoon(world, caller));
-        CHECK(world.entry->connections() == 0);
+        simulation.keepRenewingView = false;
+        simulation.submit(caller, "c/2", "READ 1");
+        checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+        CHECK(simulation.entryEngine->connections() == 0);
     }
 }
 
-TEST_SUITE("positions that were noted under a view")
+TEST_SUITE("positions recorded under a view")
 {
-    TEST_CASE("positions noted under a view that still held when a later term was seen are not used any more")
+    TEST_CASE("positions are not used when a later term was seen while the view was valid")
     {
-        // Guards against bounded reads at positions of a former primary, which cover no commit of the next
-        // one.
-        PoolWorld world { bounded };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
-        world.promote("replica-1");
-        seeLaterTerm(world, caller);
-        const auto before = world.runs().size();
-        world.ask(caller, "c/2", "READ 1");
-        checkSentAway(answerSoon(world, caller));
-        CHECK(world.runs().size() == before);
+        // Guards against bounded staleness reads at positions of a former primary, which cover no commit of
+        // the next one.
+        PoolSimulation simulation { boundedStaleness };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
+        simulation.promote("replica-1");
+        readUntilLaterTermSeen(simulation, caller);
+        const auto before = simulation.executed().size();
+        simulation.submit(caller, "c/2", "READ 1");
+        checkRefusedWithRetryAdvice(takeReplyAfterWait(simulation, caller));
+        CHECK(simulation.executed().size() == before);
     }
 
-    TEST_CASE("positions noted under a view that had ended go on serving reads at replicas")
+    TEST_CASE("positions still serve reads at replicas when a later term was seen after the view ended")
     {
-        // Guards against refusing reads during every failover, from the first answer of the next term on.
-        PoolWorld world { bounded };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "READ 1").failure);
-        world.setChanging();
-        world.promote("replica-1");
+        // Guards against refusing reads during every failover from the first reply of the next term on.
+        PoolSimulation simulation { boundedStaleness };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
+        simulation.setViewChanging();
+        simulation.promote("replica-1");
         for (int index = 0; index < 4; ++index) {
-            CHECK_FALSE(world.run(caller, "c/r" + std::to_string(index), "READ 1").failure);
-            CHECK(world.runs().back().after);
+            CHECK_FALSE(simulation.run(caller, "c/r" + std::to_string(index), "READ 1").failure);
+            CHECK(simulation.executed().back().after);
         }
     }
 }
--- /dev/null
+++ b/tests/pooling/overload_test.cpp
@@ -0,0 +1,107 @@
+#include "pool_simulation.h"
+
+#include <doctest/doctest.h>
+
+#include <string>
+
+using namespace cyclamendrift;
+using namespace std::chrono_literals;
+
+namespace {
+
+/// Opens one session for each of `teams` teams.
+std::vector<CallerId> connectTeams(PoolSimulation& simulation, int teams)
+{
+    for (int number = 0; number < teams; ++number)
+        simulation.routes->keys["key " + std::to_string(number)]
+            = TeamName { "team-" + std::to_string(number) };
+    simulation.publishRoutes();
+    std::vector<CallerId> callers;
+    for (int number = 0; number < teams; ++number)
+        callers.push_back(simulation.connect("key " + std::to_string(number)));
+    return callers;
+}
+
+} // namespace
+
+TEST_SUITE("overload")
+{
+    TEST_CASE("a VM whose share of the connections suffices forwards nothing to an owner")
+    {
+        // Six VMs share 32 connections to each upstream. If a team's statements all went to one owner that
+        // turns slow or is replaced, callers of every VM would wait for it, although the VM that they are
+        // connected to could serve them by itself.
+        PoolSimulation simulation { { .connectionCap = 32,
+            .freshness = ReadOwnWritesRoute { 2500ms },
+            .forwardToOwner = true,
+            .vms = 6 } };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "WRITE 1 x").failure);
+        CHECK_FALSE(simulation.run(caller, "c/2", "READ 1").failure);
+        CHECK(simulation.forwarded.empty());
+        CHECK(simulation.entryEngine->connections() > 0);
+    }
+
+    TEST_CASE("operations of the highest priority are admitted first when a team exceeds its rate")
+    {
+        // One team asks for several times its rate, with operations of all priorities. Each waits for the
+        // limit for a part of its own target latency; when they were admitted without regard to priority,
+        // those with the longest targets waited longest and were admitted, while nearly all urgent ones were
+        // refused.
+        PoolSimulation simulation { { .limits
+            = { { TeamName { "a" }, { .ratePerSecond = 10, .burst = 1 } } } } };
+        simulation.routes->routes["history"] = simulation.routes->routes["beds"];
+        simulation.routes->routes["history"].priority = 2;
+        simulation.publishRoutes();
+        simulation.engine.setShares(
+            { { TeamName { "a" }, { .ratePerSecond = 4, .burst = 1 } } }, simulation.now);
+        const auto first = simulation.connect("key-a", "history");
+        const auto lowPriority = simulation.connect("key-a", "history");
+        const auto highPriority = simulation.connect("key-a", "beds");
+        CHECK_FALSE(simulation.run(first, "f/1", "READ 1").failure);
+        simulation.submit(lowPriority, "l/1", "READ 1");
+        simulation.submit(highPriority, "u/1", "READ 1");
+        simulation.engine.tokensReceived(TeamName { "a" }, 1, simulation.now);
+        simulation.advanceTime(1ms);
+        CHECK_FALSE(simulation.takeReply(highPriority).failure);
+        CHECK(simulation.takeReplies(lowPriority).empty());
+        simulation.advanceTime(60ms);
+        CHECK(errorOf(simulation.takeReply(lowPriority)) == StatementError::Busy);
+    }
+
+    TEST_CASE("a read that depends on the primary is refused at once while the primary is being replaced")
+    {
+        // All VMs lose power while a primary is being replaced. The restarted VMs have recorded no position
+        // that they could require of a replica, so no upstream may serve even a read. A read that is held
+        // until its target latency has passed would be refused all the same, with less time left for a retry.
+        PoolSimulation simulation { { .freshness = BoundedStalenessRoute { 1500ms } } };
+        simulation.setViewChanging();
+        const auto caller = simulation.connect();
+        const auto reply = simulation.run(caller, "c/1", "READ 1");
+        CHECK(errorOf(reply) == StatementError::Busy);
+        CHECK(reply.failure->text.find("retry after") != std::string::npos);
+        CHECK(simulation.executed().empty());
+    }
+
+    TEST_CASE("a VM keeps half of its connections unopened while it can close idle ones")
+    {
+        // Eight teams send statements in turn, each over a connection of its own. If all VMs lose power, the
+        // upstream counts every open connection as taken for three seconds more and refuses the restarted
+        // VMs.
+        PoolSimulation simulation { { .replicas = 0, .connectionCap = 9 } };
+        const auto callers = connectTeams(simulation, 8);
+        for (std::size_t index = 0; index < callers.size(); ++index)
+            CHECK_FALSE(simulation.run(callers[index], std::to_string(index) + "/1", "READ 1").failure);
+        CHECK(simulation.openConnections() == 4);
+    }
+
+    TEST_CASE("concurrent statements use more than half of a VM's connections")
+    {
+        PoolSimulation simulation { { .replicas = 0, .connectionCap = 9 } };
+        const auto callers = connectTeams(simulation, 6);
+        simulation.holdUpstreamActions = true;
+        for (std::size_t index = 0; index < callers.size(); ++index)
+            simulation.submit(callers[index], std::to_string(index) + "/1", "READ 1");
+        CHECK(simulation.engine.connections() == 6);
+    }
+}
--- a/tests/pooling/owner_health_test.cpp
+++ b/tests/pooling/owner_health_test.cpp
@@ -1,4 +1,4 @@
-#include "pool_world.h"
+#include "pool_simulation.h"
 
 #include <cyclamendrift/pooling/owner_health.h>
 
@@ -9,125 +9,127 @@
 
 namespace {
 
-const PoolWorld::Options throughHome { .freshness = ReadOwnWritesRoute { 2500ms }, .throughHome = true };
+const PoolSimulation::Options forwardToOwner { .freshness = ReadOwnWritesRoute { 2500ms },
+    .forwardToOwner = true };
 const VmName owner { "vm-1" };
 constexpr Instant start { 100s };
 
 } // namespace
 
-TEST_SUITE("homes that cannot be reached")
+TEST_SUITE("unreachable owners")
 {
-    TEST_CASE("work goes elsewhere soon after its home was cut off, not after a statement's whole time")
+    TEST_CASE("statements run elsewhere soon after their owner was cut off")
     {
-        // Guards against a second of statements that all wait at a home behind a partition.
-        PoolWorld world { throughHome };
-        const auto first = world.connect();
-        const auto second = world.connect();
-        world.homeUnreachable = true;
-        world.ask(first, "c/1", "READ 1");
-        world.pass(100ms);
-        CHECK(world.answers(first).empty());
-        world.pass(100ms);
-        CHECK(world.logged("home_out_of_reach").size() == 1);
-        CHECK_FALSE(world.run(second, "d/1", "READ 1").failure);
-        // What is under way may run at the home and is left there.
-        CHECK(world.answers(first).empty());
-        world.deliverToHome();
-        CHECK_FALSE(world.answer(first).failure);
-        CHECK(world.timesRun("c/1") == 1);
+        // Guards against a second of statements that all wait at an owner behind a partition.
+        PoolSimulation simulation { forwardToOwner };
+        const auto first = simulation.connect();
+        const auto second = simulation.connect();
+        simulation.ownerUnreachable = true;
+        simulation.submit(first, "c/1", "READ 1");
+        simulation.advanceTime(100ms);
+        CHECK(simulation.takeReplies(first).empty());
+        simulation.advanceTime(100ms);
+        CHECK(simulation.loggedEvents("home_out_of_reach").size() == 1);
+        CHECK_FALSE(simulation.run(second, "d/1", "READ 1").failure);
+        // The statement under way may run at the owner, so it is not sent to another VM.
+        CHECK(simulation.takeReplies(first).empty());
+        simulation.restoreOwnerLink();
+        CHECK_FALSE(simulation.takeReply(first).failure);
+        CHECK(simulation.executionCount("c/1") == 1);
     }
 
-    TEST_CASE("nothing is handed to a home out of reach until it gives a sign of life")
+    TEST_CASE("nothing is forwarded to an unreachable owner until a liveness check succeeds")
     {
-        // Guards against one statement of each pause that is lost to find out whether the home is back.
-        PoolWorld world { throughHome };
-        const auto first = world.connect();
-        const auto second = world.connect();
-        world.homeUnreachable = true;
-        world.ask(first, "c/1", "READ 1");
-        world.pass(200ms);
-        CHECK(world.handed.size() == 1);
+        // Guards against losing one statement per pause to find out whether the owner is reachable again.
+        PoolSimulation simulation { forwardToOwner };
+        const auto first = simulation.connect();
+        const auto second = simulation.connect();
+        simulation.ownerUnreachable = true;
+        simulation.submit(first, "c/1", "READ 1");
+        simulation.advanceTime(200ms);
+        CHECK(simulation.forwarded.size() == 1);
         for (int read = 0; read < 20; ++read) {
-            CHECK_FALSE(world.run(second, "d/" + std::to_string(read), "READ 1").failure);
-            world.pass(200ms);
+            CHECK_FALSE(simulation.run(second, "d/" + std::to_string(read), "READ 1").failure);
+            simulation.advanceTime(200ms);
         }
-        CHECK(world.handed.size() == 1);
-        world.homeUnreachable = false;
-        world.pass(400ms);
-        CHECK_FALSE(world.run(second, "e/1", "READ 1").failure);
-        CHECK(world.handed.size() == 2);
+        CHECK(simulation.forwarded.size() == 1);
+        simulation.ownerUnreachable = false;
+        simulation.advanceTime(400ms);
+        CHECK_FALSE(simulation.run(second, "e/1", "READ 1").failure);
+        CHECK(simulation.forwarded.size() == 2);
     }
 
-    TEST_CASE("a write at a home that cannot be reached is never sent again")
+    TEST_CASE("a write at an unreachable owner is never sent again")
     {
-        // Guards against an order that is placed twice: it may have arrived before the partition.
-        PoolWorld world { throughHome };
-        const auto caller = world.connect();
-        world.homeUnreachable = true;
-        world.ask(caller, "c/1", "WRITE 1 x");
-        world.pass(400ms);
-        CHECK(world.answers(caller).empty());
-        world.deliverToHome();
-        CHECK_FALSE(world.answer(caller).failure);
-        CHECK(world.timesRun("c/1") == 1);
-        CHECK(world.handed.size() == 1);
+        // Guards against placing an order twice: it may have arrived before the partition.
+        PoolSimulation simulation { forwardToOwner };
+        const auto caller = simulation.connect();
+        simulation.ownerUnreachable = true;
+        simulation.submit(caller, "c/1", "WRITE 1 x");
+        simulation.advanceTime(400ms);
+        CHECK(simulation.takeReplies(caller).empty());
+        simulation.restoreOwnerLink();
+        CHECK_FALSE(simulation.takeReply(caller).failure);
+        CHECK(simulation.executionCount("c/1") == 1);
+        CHECK(simulation.forwarded.size() == 1);
     }
 
-    TEST_CASE("a transaction at a home out of reach is dropped at its next statement, with nothing kept")
+    TEST_CASE("a transaction at an unreachable owner is aborted at its next statement")
     {
         // Guards against each further statement of the transaction waiting until its time limit.
-        PoolWorld world { throughHome };
-        const auto caller = world.connect();
-        const auto other = world.connect();
-        CHECK_FALSE(world.run(caller, "c/1", "BEGIN").failure);
-        CHECK_FALSE(world.run(caller, "c/2", "WRITE 1 x").failure);
-        world.homeUnreachable = true;
-        world.ask(other, "d/1", "READ 1");
-        world.pass(200ms);
-        CHECK(errorOf(world.run(caller, "c/3", "COMMIT")) == StatementError::Aborted);
-        world.deliverToHome();
-        world.pass(5s);
-        CHECK_FALSE(world.committed("c/2"));
+        PoolSimulation simulation { forwardToOwner };
+        const auto caller = simulation.connect();
+        const auto other = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/1", "BEGIN").failure);
+        CHECK_FALSE(simulation.run(caller, "c/2", "WRITE 1 x").failure);
+        simulation.ownerUnreachable = true;
+        simulation.submit(other, "d/1", "READ 1");
+        simulation.advanceTime(200ms);
+        CHECK(errorOf(simulation.run(caller, "c/3", "COMMIT")) == StatementError::Aborted);
+        simulation.restoreOwnerLink();
+        simulation.advanceTime(5s);
+        CHECK_FALSE(simulation.committed("c/2"));
     }
 
-    TEST_CASE("what a home answers to work that was given up is no answer to the work that followed")
+    TEST_CASE("an owner's late reply is not taken for the reply to the next statement")
     {
-        // Guards against rows of one read in the answer to another.
-        PoolWorld world { throughHome };
-        const auto caller = world.connect();
-        world.ask(caller, "c/1", "READ 1");
-        const auto former = world.handed.back().remoteSession;
-        CHECK_FALSE(world.answer(caller).failure);
-        world.holding = true;
-        world.ask(caller, "c/2", "READ 2");
-        const Reply late { .rows = { "row of c/1" }, .proof = "proof" };
-        world.entry->forwardedStatementAnswered(caller, former, late, world.now);
-        world.entry->forwardingFailed(caller, former, ForwardFailure::NotAccepted, world.now);
-        CHECK(world.answers(caller).empty());
-        world.holding = false;
-        world.deliver();
-        CHECK(world.answer(caller).rows == std::vector<std::string> { "row of c/2" });
+        // Guards against rows of one read in the reply to another.
+        PoolSimulation simulation { forwardToOwner };
+        const auto caller = simulation.connect();
+        simulation.submit(caller, "c/1", "READ 1");
+        const auto formerSession = simulation.forwarded.back().remoteSession;
+        CHECK_FALSE(simulation.takeReply(caller).failure);
+        simulation.holdUpstreamActions = true;
+        simulation.submit(caller, "c/2", "READ 2");
+        const Reply lateReply { .rows = { "row of c/1" }, .proof = "proof" };
+        simulation.entryEngine->forwardedStatementAnswered(caller, formerSession, lateReply, simulation.now);
+        simulation.entryEngine->forwardingFailed(
+            caller, formerSession, ForwardFailure::NotAccepted, simulation.now);
+        CHECK(simulation.takeReplies(caller).empty());
+        simulation.holdUpstreamActions = false;
+        simulation.deliverHeldActions();
+        CHECK(simulation.takeReply(caller).rows == std::vector<std::string> { "row of c/2" });
     }
 
-    TEST_CASE("a slow statement at a home that lives is left there")
+    TEST_CASE("a slow statement stays at an owner that passes its liveness check")
     {
-        // Guards against twice the work for upstreams that are slow.
-        PoolWorld world { throughHome };
-        const auto caller = world.connect();
-        CHECK_FALSE(world.run(caller, "c/0", "READ 1").failure);
-        world.holding = true;
-        world.ask(caller, "c/1", "READ 1");
-        world.pass(300ms);
-        CHECK(world.signsOfLifeAsked == 1);
-        CHECK(world.answers(caller).empty());
-        CHECK(world.handed.size() == 2);
-        world.holding = false;
-        world.deliver();
-        CHECK_FALSE(world.answer(caller).failure);
-        CHECK(world.timesRun("c/1") == 1);
+        // Guards against doubling the load of upstreams that are slow.
+        PoolSimulation simulation { forwardToOwner };
+        const auto caller = simulation.connect();
+        CHECK_FALSE(simulation.run(caller, "c/0", "READ 1").failure);
+        simulation.holdUpstreamActions = true;
+        simulation.submit(caller, "c/1", "READ 1");
+        simulation.advanceTime(300ms);
+        CHECK(simulation.livenessChecks == 1);
+        CHECK(simulation.takeReplies(caller).empty());
+        CHECK(simulation.forwarded.size() == 2);
+        simulation.holdUpstreamActions = false;
+        simulation.deliverHeldActions();
+        CHECK_FALSE(simulation.takeReply(caller).failure);
+        CHECK(simulation.executionCount("c/1") == 1);
     }
 
-    TEST_CASE("a home is asked only when it owes an answer for a while")
+    TEST_CASE("an owner is checked only when it has owed a reply for a while")
     {
         OwnerHealth health;
         health.recordWaiting({ { owner, start } });
@@ -140,7 +142,7 @@
         CHECK(health.beginDueChecks(start + 1s).empty());
     }
 
-    TEST_CASE("a home out of reach is asked until it gives a sign, or long enough")
+    TEST_CASE("an unreachable owner is checked until it passes")
     {
         OwnerHealth health;
         health.recordWaiting({ { owner, start } });
--- a/tests/pooling/service_owners_test.cpp
+++ b/tests/pooling/service_owners_test.cpp
@@ -11,113 +11,116 @@
 namespace {
 
 const ServiceName service { "register" };
-constexpr std::uint32_t cap = 74;
+constexpr std::uint32_t connectionCap = 74;
 
 std::map<VmName, VmCapacity> fleetOf(std::size_t vms)
 {
-    constexpr std::size_t strong = 6;
+    constexpr std::size_t strongVms = 6;
     std::map<VmName, VmCapacity> listed;
     for (std::size_t index = 0; index < vms; ++index)
-        listed[VmName { "vm-" + std::to_string(index) }].cores = index < strong ? 0.5 : 0.12;
+        listed[VmName { "vm-" + std::to_string(index) }].cores = index < strongVms ? 0.5 : 0.12;
     return listed;
 }
 
-TeamName teamOf(int number) { return TeamName { "team-" + std::to_string(number) }; }
+TeamName numberedTeam(int number) { return TeamName { "team-" + std::to_string(number) }; }
 
 } // namespace
 
-TEST_SUITE("homes of a service")
+TEST_SUITE("service owners")
 {
-    TEST_CASE("every VM names the same homes, and the teams spread over them")
+    TEST_CASE("every VM selects the same owners and spreads the teams over all of them")
     {
         ServiceOwners one { VmName { "vm-1" }, fleetOf(70) };
         ServiceOwners other { VmName { "vm-60" }, fleetOf(70) };
-        CHECK(one.ownersOf(service, cap) == other.ownersOf(service, cap));
-        CHECK(one.ownersOf(service, cap).size() == 6);
+        CHECK(one.ownersOf(service, connectionCap) == other.ownersOf(service, connectionCap));
+        CHECK(one.ownersOf(service, connectionCap).size() == 6);
         std::set<VmName> first;
         for (int team = 0; team < 77; ++team) {
-            CHECK(one.rankedOwners(service, teamOf(team), cap)
-                == other.rankedOwners(service, teamOf(team), cap));
-            first.insert(one.rankedOwners(service, teamOf(team), cap).front());
+            CHECK(one.rankedOwners(service, numberedTeam(team), connectionCap)
+                == other.rankedOwners(service, numberedTeam(team), connectionCap));
+            first.insert(one.rankedOwners(service, numberedTeam(team), connectionCap).front());
         }
         CHECK(first.size() == 6);
     }
 
-    TEST_CASE("the homes' connections stay below the cap, with some left for VMs that reach no home")
+    TEST_CASE("owners leave some of the connections to VMs that reach no owner")
     {
-        // Were all connections with the homes, a VM that is cut off from them could serve nobody, and nobody
+        // If the owners held all connections, a VM that is cut off from them could serve no caller, and no VM
         // could ask an upstream whether it is the primary.
         const auto listed = fleetOf(70);
         for (const std::uint32_t connections : { 21U, 34U, 74U, 240U }) {
-            std::size_t held = 0;
+            std::size_t allowedConnections = 0;
             const auto owners = ServiceOwners { VmName { "vm-0" }, listed }.ownersOf(service, connections);
             for (const auto& vm : owners)
-                held += ServiceOwners { vm, listed }.connectionShareOf(service, connections);
-            CHECK(held <= connections - connections / 8);
-            CHECK(held >= connections / 2);
+                allowedConnections += ServiceOwners { vm, listed }.connectionShareOf(service, connections);
+            CHECK(allowedConnections <= connections - connections / 8);
+            CHECK(allowedConnections >= connections / 2);
         }
     }
 
-    TEST_CASE("a VM that goes moves only the teams it was home for")
+    TEST_CASE("removing a VM moves only the teams that it owned")
     {
-        // A VM dies. If teams of the other homes moved as well, all their connections would be opened anew
-        // at once, and each opening takes the upstream as long as a short statement.
+        // Guards against moving teams of the other owners when a VM dies. All their connections would be
+        // opened again at once, and opening one takes the upstream as long as a short statement.
         auto listed = fleetOf(70);
         ServiceOwners before { VmName { "vm-1" }, listed };
-        const auto owners = before.ownersOf(service, cap);
-        const auto gone = owners.front();
-        listed.erase(gone);
+        const auto owners = before.ownersOf(service, connectionCap);
+        const auto removed = owners.front();
+        listed.erase(removed);
         ServiceOwners after { VmName { "vm-1" }, listed };
         for (int team = 0; team < 77; ++team) {
-            const auto was = before.rankedOwners(service, teamOf(team), cap).front();
-            const auto now = after.rankedOwners(service, teamOf(team), cap).front();
-            const bool isNew = std::find(owners.begin(), owners.end(), now) == owners.end();
-            CHECK((was == now || was == gone || isNew));
+            const auto ownerBefore = before.rankedOwners(service, numberedTeam(team), connectionCap).front();
+            const auto ownerAfter = after.rankedOwners(service, numberedTeam(team), connectionCap).front();
+            const bool isNew = std::find(owners.begin(), owners.end(), ownerAfter) == owners.end();
+            CHECK((ownerBefore == ownerAfter || ownerBefore == removed || isNew));
         }
     }
 
-    TEST_CASE("a VM with four times the processor is a home about four times as often")
+    TEST_CASE("a VM with four times the cores is an owner about four times as often")
     {
-        int strong = 0;
+        int strongVms = 0;
         int all = 0;
         ServiceOwners owners { VmName { "vm-1" }, fleetOf(70) };
         for (int number = 0; number < 200; ++number) {
-            for (const auto& vm : owners.ownersOf(ServiceName { "service-" + std::to_string(number) }, cap)) {
+            for (const auto& vm :
+                owners.ownersOf(ServiceName { "service-" + std::to_string(number) }, connectionCap)) {
                 ++all;
-                strong += vm.view().size() == 4 && vm.view().back() < '6' ? 1 : 0;
+                strongVms += vm.view().size() == 4 && vm.view().back() < '6' ? 1 : 0;
             }
         }
-        // Six of the sixteen VMs among which homes are chosen have three of their 4.2 cores.
-        CHECK(strong > all * 3 / 5);
-        CHECK(strong < all * 4 / 5);
+        // Six of the sixteen candidates have 3 of their 4.2 cores.
+        CHECK(strongVms > all * 3 / 5);
+        CHECK(strongVms < all * 4 / 5);
     }
 
-    TEST_CASE("each of 195 VMs speaks to a few homes, whatever services its callers use")
+    TEST_CASE("each of 195 VMs contacts a few owners whatever services its callers use")
     {
-        // Guards against a link from every VM to most others, with the memory of both ends.
+        // Guards against every VM keeping links to most others, which takes memory at both ends.
         std::map<VmName, VmCapacity> listed;
         for (int index = 0; index < 195; ++index)
             listed[VmName { "vm-" + std::to_string(index) }].cores = index < 15 ? 0.5 : 0.12;
         ServiceOwners owners { VmName { "vm-100" }, listed };
-        std::set<VmName> spokenTo;
+        std::set<VmName> contactedOwners;
         for (int number = 0; number < 20; ++number) {
-            const auto& chosen = owners.ownersOf(ServiceName { "service-" + std::to_string(number) }, 180);
-            spokenTo.insert(chosen.begin(), chosen.end());
+            const auto& selectedOwners
+                = owners.ownersOf(ServiceName { "service-" + std::to_string(number) }, 180);
+            contactedOwners.insert(selectedOwners.begin(), selectedOwners.end());
         }
-        CHECK(spokenTo.size() <= 16);
+        CHECK(contactedOwners.size() <= 16);
     }
 
-    TEST_CASE("VMs alike share the work of homes among a quarter of them")
+    TEST_CASE("a quarter of equally strong VMs are owners")
     {
         std::map<VmName, VmCapacity> listed;
         for (int index = 0; index < 200; ++index)
             listed[VmName { "vm-" + std::to_string(index) }].cores = 0.25;
         ServiceOwners owners { VmName { "vm-100" }, listed };
-        std::set<VmName> spokenTo;
+        std::set<VmName> contactedOwners;
         for (int number = 0; number < 200; ++number) {
-            const auto& chosen = owners.ownersOf(ServiceName { "service-" + std::to_string(number) }, 180);
-            spokenTo.insert(chosen.begin(), chosen.end());
+            const auto& selectedOwners
+                = owners.ownersOf(ServiceName { "service-" + std::to_string(number) }, 180);
+            contactedOwners.insert(selectedOwners.begin(), selectedOwners.end());
         }
-        CHECK(spokenTo.size() == 50);
+        CHECK(contactedOwners.size() == 50);
     }
 }
