--- a/bench/bench_consistency.cpp
+++ b/bench/bench_consistency.cpp
@@ -169,7 +169,7 @@
 
 struct ReadPolicy {
     std::string name;
-    Duration patience {};
+    Duration maxCatchUpWait {};
     bool primaryOnly = false;
 };
 
@@ -185,7 +185,7 @@
             .replicaLag = lag,
             .writeInterval = 20ms,
             .readInterval = 5ms,
-            .patience = policy.patience,
+            .maxCatchUpWait = policy.maxCatchUpWait,
             .readsFromPrimaryOnly = policy.primaryOnly } };
         world.runFor(10s);
         replica += static_cast<double>(world.reads().replica);
@@ -205,9 +205,10 @@
     for (const auto lag : { 2ms, 20ms, 200ms }) {
         const auto fault = "replica_lag_" + std::to_string(lag.count()) + "ms";
         measureReads(site, fault, lag, { .name = "primary_only", .primaryOnly = true });
-        for (const auto patience : { 0ms, 5ms, 20ms, 50ms })
+        for (const auto maxCatchUpWait : { 0ms, 5ms, 20ms, 50ms })
             measureReads(site, fault, lag,
-                { .name = "wait_" + std::to_string(patience.count()) + "ms", .patience = patience });
+                { .name = "wait_" + std::to_string(maxCatchUpWait.count()) + "ms",
+                    .maxCatchUpWait = maxCatchUpWait });
     }
 }
 
--- a/include/cyclamendrift/connections/concurrency_limit.h
+++ b/include/cyclamendrift/connections/concurrency_limit.h
@@ -25,14 +25,14 @@
     void onAnswer(Duration elapsed);
 
     /// The upstream refused a statement because it was full.
-    void onFull(Instant now);
+    void onCapacityRefusal(Instant now);
 
 private:
     double limit = 6;
     /// What a statement takes with nothing in its way, and what it takes now, in milliseconds.
-    double unloaded = 0;
-    double recent = 0;
-    Instant loweredAt = Instant::min();
+    double unloadedLatencyMs = 0;
+    double recentLatencyMs = 0;
+    Instant lastRefusalDecrease = Instant::min();
 };
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/connections/connection_pool.h
+++ b/include/cyclamendrift/connections/connection_pool.h
@@ -54,16 +54,16 @@
     struct Options {
         std::size_t budget = 1;
         /// Connections kept open without demand, so that a first request need not wait for a connect.
-        std::size_t warm = 2;
+        std::size_t minConnections = 2;
         std::size_t maxOpening = 4;
         /// An idle connection is probed when its last answer is this old.
         Duration probeAfter = std::chrono::seconds { 1 };
         /// An exchange without an answer for this long makes its connection suspect.
         Duration suspectAfter = std::chrono::milliseconds { 1500 };
         /// While all connections are suspect, one is closed this often.
-        Duration sacrificeInterval = std::chrono::milliseconds { 250 };
+        Duration suspectCloseInterval = std::chrono::milliseconds { 250 };
         Duration openTimeout = std::chrono::seconds { 2 };
-        Duration firstBackOff = std::chrono::milliseconds { 50 };
+        Duration initialBackOff = std::chrono::milliseconds { 50 };
         Duration maxBackOff = std::chrono::seconds { 2 };
     };
 
@@ -76,7 +76,7 @@
     [[nodiscard]] std::optional<ConnectionId> acquire(Instant now);
 
     /// True when the connection has answered so recently that it need not be proved before a write.
-    [[nodiscard]] bool isProven(ConnectionId id, Instant now) const;
+    [[nodiscard]] bool hasRecentAnswer(ConnectionId id, Instant now) const;
 
     /// Reports that the user of a connection has sent something.
     void sent(ConnectionId id, Instant now);
@@ -107,21 +107,21 @@
     [[nodiscard]] std::size_t idle() const noexcept;
     [[nodiscard]] std::size_t inUse() const noexcept;
     /// True while the slot refuses connections or cannot be reached.
-    [[nodiscard]] bool isBackingOff(Instant now) const noexcept { return now < this->openAgainAt; }
+    [[nodiscard]] bool isBackingOff(Instant now) const noexcept { return now < this->nextOpenAt; }
 
 private:
     static constexpr Instant noExchange = Instant::max();
     enum class Phase : std::uint8_t { Opening, Idle, Probing, InUse };
     struct Entry {
         Phase phase = Phase::Opening;
-        Instant since;
-        Instant lastAnswer;
+        Instant phaseSince;
+        Instant lastAnswerAt;
         /// When what has no answer yet was sent; noExchange when nothing is outstanding.
         Instant sentAt = noExchange;
     };
 
     void closeSilentProbes(Instant now, std::vector<PoolAction>& actions);
-    void sacrificeOne(Instant now, std::vector<PoolAction>& actions);
+    void closeOldestSuspect(Instant now, std::vector<PoolAction>& actions);
     void probeIdle(Instant now, std::vector<PoolAction>& actions);
     void openMissing(Instant now, std::size_t waiting, std::vector<PoolAction>& actions);
     [[nodiscard]] bool isSuspect(const Entry& entry, Instant now) const noexcept;
@@ -130,10 +130,10 @@
     std::map<ConnectionId, Entry> connections;
     std::vector<ConnectionId> toClose;
     std::uint64_t lastId = 0;
-    std::size_t failures = 0;
-    Instant openAgainAt {};
-    Instant lastSlotAnswer {};
-    Instant lastSacrifice {};
+    std::size_t consecutiveOpenFailures = 0;
+    Instant nextOpenAt {};
+    Instant lastSlotAnswerAt {};
+    Instant lastSuspectClose {};
     bool retired = false;
 };
 
--- a/include/cyclamendrift/connections/fair_queue.h
+++ b/include/cyclamendrift/connections/fair_queue.h
@@ -28,7 +28,7 @@
     Priority priority = Priority::Normal;
     Instant deadline;
     /// Connection time that pop() charged the team with; finished() corrects it.
-    Duration charged {};
+    Duration chargedTime {};
 };
 
 /// The request waits; it will be popped, evicted or expire.
@@ -116,8 +116,8 @@
     [[nodiscard]] double backlogSeconds(const QueuedRequest& request) const;
     [[nodiscard]] std::optional<QueuedRequest> makeRoomFor(const QueuedRequest& request);
     [[nodiscard]] std::optional<QueuedRequest> evictFor(const QueuedRequest& request);
-    [[nodiscard]] Teams::iterator pickNext();
-    [[nodiscard]] Teams::iterator pickHighPriority(const Team& leastServed);
+    [[nodiscard]] Teams::iterator selectNext();
+    [[nodiscard]] Teams::iterator selectHighPriority(const Team& leastServed);
     [[nodiscard]] QueuedRequest popFrom(Team& team);
     void dropIdleTeams();
 
--- a/include/cyclamendrift/connections/retry_budget.h
+++ b/include/cyclamendrift/connections/retry_budget.h
@@ -20,9 +20,9 @@
         /// Retries that each request pays for.
         double retriesPerRequest = 0.1;
         /// Retries that may be saved up.
-        double maxSaved = 10;
+        double maxTokens = 10;
         std::size_t maxRetriesPerRequest = 2;
-        Duration firstDelay = std::chrono::milliseconds { 10 };
+        Duration initialDelay = std::chrono::milliseconds { 10 };
         Duration maxDelay = std::chrono::milliseconds { 500 };
     };
 
@@ -36,11 +36,11 @@
     [[nodiscard]] std::optional<Duration> retry(std::size_t attempt, RandomSource& random);
 
     /// True when there is a retry to take.
-    [[nodiscard]] bool available() const noexcept { return this->saved >= 1; }
+    [[nodiscard]] bool available() const noexcept { return this->tokens >= 1; }
 
 private:
     Options options;
-    double saved;
+    double tokens;
 };
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/sessions/primary_read.h
+++ b/include/cyclamendrift/sessions/primary_read.h
@@ -11,8 +11,8 @@
 /// or bounded read that this slot was still the primary when the read was sent. A bounded read is given up
 /// when its rows have grown too old. A read that is given up has had no effect and may be sent again.
 ///
-///     acknowledgements.add(confirmationOfPrimaryRead(access, after, sentAt, deadline));
-[[nodiscard]] Acknowledgements::Options confirmationOfPrimaryRead(
+///     acknowledgements.add(makePrimaryReadOptions(access, after, sentAt, deadline));
+[[nodiscard]] Acknowledgements::Options makePrimaryReadOptions(
     const Access& access, const SlotStatus& after, Instant sentAt, Instant deadline);
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/sessions/replica_tracker.h
+++ b/include/cyclamendrift/sessions/replica_tracker.h
@@ -29,9 +29,9 @@
     Instant until;
 };
 /// No slot is good for it now; hold it until the view changes or its deadline.
-struct NoSlot { };
+struct NoSlotAvailable { };
 /// Where a statement goes.
-using SlotChoice = std::variant<ReadFromReplica, UsePrimary, WaitForReplica, NoSlot>;
+using SlotSelection = std::variant<ReadFromReplica, UsePrimary, WaitForReplica, NoSlotAvailable>;
 
 /// Knows how far each slot has come and picks the one for a statement, so that as many reads as possible go
 /// to replicas while sessions read their writes, never go back, and bounded reads keep their bound.
@@ -42,9 +42,9 @@
 public:
     struct Options {
         /// A replica that has not answered for this long gets no reads.
-        Duration silentAfter = std::chrono::seconds { 2 };
+        Duration maxSilence = std::chrono::seconds { 2 };
         /// How long a read may wait for a replica to catch up before it goes to the primary.
-        Duration patience = std::chrono::milliseconds { 5 };
+        Duration maxCatchUpWait = std::chrono::milliseconds { 5 };
     };
 
     /// A statement that needs a slot.
@@ -72,43 +72,43 @@
     void failed(const SlotName& slot) noexcept;
 
     /// Where a statement goes now.
-    [[nodiscard]] SlotChoice choose(const Request& request, Instant now, RandomSource& random) const;
+    [[nodiscard]] SlotSelection selectSlot(const Request& request, Instant now, RandomSource& random) const;
 
     /// True when the two statuses read around a statement, on the same connection to a replica, prove that
     /// its rows were fresh enough. When false, the read has to be sent elsewhere. On true, the session has
     /// seen `after.progress`.
-    [[nodiscard]] bool proves(
+    [[nodiscard]] bool provesFreshness(
         const Request& request, const SlotStatus& before, const SlotStatus& after, Instant sentAt) const;
 
     /// How old the data of a replica with this status may be at most; empty when nothing bounds it. The age
     /// is counted from when a covered status of the primary was asked for, so it is true also when the
     /// primary has been out of reach since.
-    [[nodiscard]] std::optional<Duration> ageOf(const SlotStatus& replica, Instant now) const;
+    [[nodiscard]] std::optional<Duration> stalenessBound(const SlotStatus& replica, Instant now) const;
 
 private:
     struct Slot {
         StatusSample sample;
-        std::uint32_t outstanding = 0;
+        std::uint32_t runningStatements = 0;
         bool usable = false;
     };
-    struct PrimaryPoint {
+    struct PrimaryProgressSample {
         Progress progress;
         Instant askedAt;
     };
 
     [[nodiscard]] bool isFresh(const Request& request, const SlotStatus& status, Instant now) const;
-    [[nodiscard]] bool mayRead(const SlotName& name, const Slot& slot, Instant now) const;
+    [[nodiscard]] bool canServeReads(const SlotName& name, const Slot& slot, Instant now) const;
     [[nodiscard]] std::vector<SlotName> readableReplicas(const Request& request, Instant now) const;
-    [[nodiscard]] const SlotName& leastLoaded(
+    [[nodiscard]] const SlotName& selectLessLoaded(
         const std::vector<SlotName>& candidates, RandomSource& random) const;
-    [[nodiscard]] bool mayCatchUp(const Request& request, Instant now) const;
-    [[nodiscard]] SlotChoice primaryChoice() const;
-    void rememberPrimary(const StatusSample& sample);
+    [[nodiscard]] bool canCatchUp(const Request& request, Instant now) const;
+    [[nodiscard]] SlotSelection selectPrimary() const;
+    void recordPrimaryProgress(const StatusSample& sample);
 
     Options options;
     GroupView view;
     std::map<SlotName, Slot> slots;
-    std::deque<PrimaryPoint> primaryHistory;
+    std::deque<PrimaryProgressSample> primaryHistory;
 };
 
 } // namespace cyclamendrift
--- a/src/connections/connection_pool.cpp
+++ b/src/connections/connection_pool.cpp
@@ -19,7 +19,7 @@
     if (this->retired)
         return actions;
     this->closeSilentProbes(now, actions);
-    this->sacrificeOne(now, actions);
+    this->closeOldestSuspect(now, actions);
     this->probeIdle(now, actions);
     this->openMissing(now, waiting, actions);
     return actions;
@@ -38,7 +38,7 @@
     // connects to its troubles.
     for (auto entry = this->connections.begin(); entry != this->connections.end();) {
         const bool silent = entry->second.phase == Phase::Probing && this->isSuspect(entry->second, now)
-            && this->lastSlotAnswer > entry->second.sentAt;
+            && this->lastSlotAnswerAt > entry->second.sentAt;
         if (!silent) {
             ++entry;
             continue;
@@ -48,28 +48,29 @@
     }
 }
 
-void ConnectionPool::sacrificeOne(Instant now, std::vector<PoolAction>& actions)
+void ConnectionPool::closeOldestSuspect(Instant now, std::vector<PoolAction>& actions)
 {
     // A statement may take long for good reasons, and an unanswered one cannot be told from a silent
     // connection. So suspects keep their connections until their deadline as long as any other is left. Only
     // when all of the budget is suspect and the slot answers elsewhere is the oldest given up, one at a time:
     // otherwise a wave of silent connections would stop everything until the last deadline.
     const bool full = this->connections.size() >= this->options.budget;
-    if (!full || now - this->lastSacrifice < this->options.sacrificeInterval)
+    if (!full || now - this->lastSuspectClose < this->options.suspectCloseInterval)
         return;
     auto oldest = this->connections.end();
     for (auto entry = this->connections.begin(); entry != this->connections.end(); ++entry) {
-        const bool pinned = entry->second.phase == Phase::InUse && entry->second.sentAt == noExchange;
-        if (pinned)
+        const bool isHeldWithoutExchange
+            = entry->second.phase == Phase::InUse && entry->second.sentAt == noExchange;
+        if (isHeldWithoutExchange)
             continue;
         if (!this->isSuspect(entry->second, now))
             return;
         if (oldest == this->connections.end() || entry->second.sentAt < oldest->second.sentAt)
             oldest = entry;
     }
-    if (oldest == this->connections.end() || this->lastSlotAnswer <= oldest->second.sentAt)
+    if (oldest == this->connections.end() || this->lastSlotAnswerAt <= oldest->second.sentAt)
         return;
-    this->lastSacrifice = now;
+    this->lastSuspectClose = now;
     actions.emplace_back(CloseConnection { oldest->first });
     this->connections.erase(oldest);
 }
@@ -78,10 +79,10 @@
 {
     for (auto& item : this->connections) {
         auto& entry = item.second;
-        if (entry.phase != Phase::Idle || now - entry.lastAnswer < this->options.probeAfter)
+        if (entry.phase != Phase::Idle || now - entry.lastAnswerAt < this->options.probeAfter)
             continue;
         entry.phase = Phase::Probing;
-        entry.since = now;
+        entry.phaseSince = now;
         entry.sentAt = now;
         actions.emplace_back(ProbeConnection { item.first });
     }
@@ -89,7 +90,7 @@
 
 void ConnectionPool::openMissing(Instant now, std::size_t waiting, std::vector<PoolAction>& actions)
 {
-    if (now < this->openAgainAt)
+    if (now < this->nextOpenAt)
         return;
     std::size_t opening = 0;
     std::size_t usable = 0;
@@ -99,14 +100,14 @@
     }
     // After a failure a single attempt shows whether the slot takes connections again; a full set of them
     // would be a stampede on one that is just coming back.
-    const auto maxOpening = this->failures > 0 ? std::size_t { 1 } : this->options.maxOpening;
+    const auto maxOpening = this->consecutiveOpenFailures > 0 ? std::size_t { 1 } : this->options.maxOpening;
     while (this->connections.size() < this->options.budget && opening < maxOpening) {
-        const bool wanted = usable < waiting || this->connections.size() < this->options.warm;
-        const bool nothingProven = usable == 0 && this->connections.size() < this->options.budget;
-        if (!wanted && !nothingProven)
+        const bool isNeeded = usable < waiting || this->connections.size() < this->options.minConnections;
+        const bool noneUsable = usable == 0 && this->connections.size() < this->options.budget;
+        if (!isNeeded && !noneUsable)
             return;
         const auto id = ConnectionId { ++this->lastId };
-        this->connections.emplace(id, Entry { .phase = Phase::Opening, .since = now });
+        this->connections.emplace(id, Entry { .phase = Phase::Opening, .phaseSince = now });
         actions.emplace_back(OpenConnection { id });
         ++opening;
         ++usable;
@@ -115,24 +116,25 @@
 
 std::optional<ConnectionId> ConnectionPool::acquire(Instant now)
 {
-    auto chosen = this->connections.end();
+    auto selected = this->connections.end();
     for (auto entry = this->connections.begin(); entry != this->connections.end(); ++entry) {
         if (entry->second.phase != Phase::Idle)
             continue;
-        if (chosen == this->connections.end() || entry->second.lastAnswer > chosen->second.lastAnswer)
-            chosen = entry;
+        if (selected == this->connections.end() || entry->second.lastAnswerAt > selected->second.lastAnswerAt)
+            selected = entry;
     }
-    if (chosen == this->connections.end())
+    if (selected == this->connections.end())
         return std::nullopt;
-    chosen->second.phase = Phase::InUse;
-    chosen->second.since = now;
-    return chosen->first;
+    selected->second.phase = Phase::InUse;
+    selected->second.phaseSince = now;
+    return selected->first;
 }
 
-bool ConnectionPool::isProven(ConnectionId id, Instant now) const
+bool ConnectionPool::hasRecentAnswer(ConnectionId id, Instant now) const
 {
     const auto entry = this->connections.find(id);
-    return entry != this->connections.end() && now - entry->second.lastAnswer < this->options.probeAfter / 2;
+    return entry != this->connections.end()
+        && now - entry->second.lastAnswerAt < this->options.probeAfter / 2;
 }
 
 void ConnectionPool::sent(ConnectionId id, Instant now)
@@ -149,7 +151,7 @@
     if (entry == this->connections.end())
         return;
     entry->second.sentAt = noExchange;
-    entry->second.lastAnswer = now;
+    entry->second.lastAnswerAt = now;
     if (entry->second.phase == Phase::Probing)
         entry->second.phase = Phase::Idle;
 }
@@ -166,14 +168,14 @@
         return;
     }
     entry->second.phase = Phase::Idle;
-    entry->second.since = now;
+    entry->second.phaseSince = now;
 }
 
 void ConnectionPool::lost(ConnectionId id) { this->connections.erase(id); }
 
 void ConnectionPool::opened(ConnectionId id, Instant now)
 {
-    this->failures = 0;
+    this->consecutiveOpenFailures = 0;
     this->slotAnswered(now);
     const auto entry = this->connections.find(id);
     if (entry == this->connections.end() || this->retired) {
@@ -181,7 +183,7 @@
         this->connections.erase(id);
         return;
     }
-    entry->second = Entry { .phase = Phase::Idle, .since = now, .lastAnswer = now };
+    entry->second = Entry { .phase = Phase::Idle, .phaseSince = now, .lastAnswerAt = now };
 }
 
 void ConnectionPool::openFailed(ConnectionId id, OpenFailure failure, Instant now)
@@ -192,9 +194,10 @@
     if (failure == OpenFailure::CapReached)
         this->slotAnswered(now);
     constexpr std::size_t maxDoublings = 10;
-    const Duration delay = this->options.firstBackOff * (1LL << std::min(this->failures, maxDoublings));
-    this->openAgainAt = now + std::min(delay, this->options.maxBackOff);
-    ++this->failures;
+    const Duration delay
+        = this->options.initialBackOff * (1LL << std::min(this->consecutiveOpenFailures, maxDoublings));
+    this->nextOpenAt = now + std::min(delay, this->options.maxBackOff);
+    ++this->consecutiveOpenFailures;
 }
 
 void ConnectionPool::retire()
@@ -213,7 +216,7 @@
 
 void ConnectionPool::slotAnswered(Instant now) noexcept
 {
-    this->lastSlotAnswer = std::max(this->lastSlotAnswer, now);
+    this->lastSlotAnswerAt = std::max(this->lastSlotAnswerAt, now);
 }
 
 std::size_t ConnectionPool::idle() const noexcept
--- a/src/connections/fair_queue.cpp
+++ b/src/connections/fair_queue.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 /// Share of a new measurement in the mean of hold times: about the last twenty requests count.
-constexpr double smoothing = 0.05;
+constexpr double holdTimeSmoothing = 0.05;
 /// Teams that are remembered while idle, so that one cannot shed its past use by pausing for a moment.
-constexpr std::size_t maxIdleTeams = 64;
+constexpr std::size_t maxTeamsBeforeCleanup = 64;
 
 double seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
@@ -22,14 +22,14 @@
 
 template <class Requests> void moveExpired(Requests& requests, Instant now, std::vector<QueuedRequest>& into)
 {
-    auto kept = requests.begin();
+    auto keptEnd = requests.begin();
     for (auto& request : requests) {
         if (request.deadline <= now)
             into.push_back(std::move(request));
         else
-            *kept++ = std::move(request);
+            *keptEnd++ = std::move(request);
     }
-    requests.erase(kept, requests.end());
+    requests.erase(keptEnd, requests.end());
 }
 
 } // namespace
@@ -101,8 +101,8 @@
             return QueueRefusal { RefusalReason::Overloaded, std::max(wait, hold) };
     }
     auto& team = this->teamOf(request);
-    auto& line = request.priority == Priority::High ? team.high : team.normal;
-    line.push_back(std::move(request));
+    auto& requests = request.priority == Priority::High ? team.high : team.normal;
+    requests.push_back(std::move(request));
     ++this->queued;
     return result;
 }
@@ -110,11 +110,11 @@
 std::optional<QueuedRequest> FairQueue::makeRoomFor(const QueuedRequest& request)
 {
     const auto own = this->teams.find(request.team);
-    const bool ownLookupsWait = own != this->teams.end() && !own->second.normal.empty();
-    if (request.priority == Priority::High && ownLookupsWait) {
-        auto& lookups = own->second.normal;
-        auto evicted = std::move(lookups.back());
-        lookups.pop_back();
+    const bool hasNormalRequests = own != this->teams.end() && !own->second.normal.empty();
+    if (request.priority == Priority::High && hasNormalRequests) {
+        auto& normalRequests = own->second.normal;
+        auto evicted = std::move(normalRequests.back());
+        normalRequests.pop_back();
         --this->queued;
         return evicted;
     }
@@ -139,30 +139,30 @@
         / std::max(request.weight, 1U);
     if (ownLoad >= load(*longest))
         return std::nullopt;
-    auto& line = longest->second.normal.empty() ? longest->second.high : longest->second.normal;
-    auto evicted = std::move(line.back());
-    line.pop_back();
+    auto& requests = longest->second.normal.empty() ? longest->second.high : longest->second.normal;
+    auto evicted = std::move(requests.back());
+    requests.pop_back();
     --this->queued;
     return evicted;
 }
 
-FairQueue::Teams::iterator FairQueue::pickHighPriority(const Team& leastServed)
+FairQueue::Teams::iterator FairQueue::selectHighPriority(const Team& leastServed)
 {
     // Unbounded, a team that marks everything as high would starve the lookups of all others; the lead is
     // measured in connection time, so it is used up by serving.
     const double limit = leastServed.virtualTime + seconds(this->options.priorityLead);
-    auto chosen = this->teams.end();
+    auto selected = this->teams.end();
     for (auto entry = this->teams.begin(); entry != this->teams.end(); ++entry) {
         const auto& team = entry->second;
         if (team.high.empty() || team.virtualTime > limit)
             continue;
-        if (chosen == this->teams.end() || team.virtualTime < chosen->second.virtualTime)
-            chosen = entry;
+        if (selected == this->teams.end() || team.virtualTime < selected->second.virtualTime)
+            selected = entry;
     }
-    return chosen;
+    return selected;
 }
 
-FairQueue::Teams::iterator FairQueue::pickNext()
+FairQueue::Teams::iterator FairQueue::selectNext()
 {
     auto leastServed = this->teams.end();
     for (auto entry = this->teams.begin(); entry != this->teams.end(); ++entry) {
@@ -174,26 +174,26 @@
     if (leastServed == this->teams.end())
         return leastServed;
     this->virtualNow = std::max(this->virtualNow, leastServed->second.virtualTime);
-    const auto preferred = this->pickHighPriority(leastServed->second);
+    const auto preferred = this->selectHighPriority(leastServed->second);
     return preferred == this->teams.end() ? leastServed : preferred;
 }
 
 QueuedRequest FairQueue::popFrom(Team& team)
 {
-    auto& line = team.high.empty() ? team.normal : team.high;
-    auto request = std::move(line.front());
-    line.pop_front();
+    auto& requests = team.high.empty() ? team.normal : team.high;
+    auto request = std::move(requests.front());
+    requests.pop_front();
     --this->queued;
     // Charged by expectation now and corrected in finished(): otherwise all free connections would go to the
     // same team before any of them has come back.
     team.virtualTime += team.expectedHold / team.weight;
-    request.charged = duration(team.expectedHold);
+    request.chargedTime = duration(team.expectedHold);
     return request;
 }
 
 std::optional<QueuedRequest> FairQueue::pop()
 {
-    const auto next = this->pickNext();
+    const auto next = this->selectNext();
     if (next == this->teams.end())
         return std::nullopt;
     return this->popFrom(next->second);
@@ -202,19 +202,19 @@
 void FairQueue::finished(const QueuedRequest& request, Duration held)
 {
     const double actual = seconds(held);
-    this->expectedHold += smoothing * (actual - this->expectedHold);
+    this->expectedHold += holdTimeSmoothing * (actual - this->expectedHold);
     const auto entry = this->teams.find(request.team);
     if (entry == this->teams.end())
         return;
     auto& team = entry->second;
-    team.virtualTime += (actual - seconds(request.charged)) / team.weight;
-    team.expectedHold += smoothing * (actual - team.expectedHold);
+    team.virtualTime += (actual - seconds(request.chargedTime)) / team.weight;
+    team.expectedHold += holdTimeSmoothing * (actual - team.expectedHold);
     this->dropIdleTeams();
 }
 
 void FairQueue::dropIdleTeams()
 {
-    if (this->teams.size() <= maxIdleTeams)
+    if (this->teams.size() <= maxTeamsBeforeCleanup)
         return;
     std::erase_if(this->teams, [&](const auto& entry) {
         return entry.second.size() == 0 && entry.second.virtualTime <= this->virtualNow;
@@ -236,7 +236,7 @@
 {
     auto all = this->expire(now);
     while (this->queued > 0)
-        all.push_back(this->popFrom(this->pickNext()->second));
+        all.push_back(this->popFrom(this->selectNext()->second));
     return all;
 }
 
--- a/src/connections/outlier_detector.cpp
+++ b/src/connections/outlier_detector.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr double smoothing = 0.2;
+constexpr double latencySmoothing = 0.2;
 
 double seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
@@ -25,7 +25,7 @@
     // After a break only the new measurement counts: a slot that has recovered would otherwise be judged by
     // what it was like before.
     const bool stale = isNew || now - latency.measuredAt >= this->options.retryAfter;
-    latency.mean = stale ? actual : latency.mean + smoothing * (actual - latency.mean);
+    latency.mean = stale ? actual : latency.mean + latencySmoothing * (actual - latency.mean);
     latency.measuredAt = now;
 }
 
--- a/src/pooling/engine_connections.cpp
+++ b/src/pooling/engine_connections.cpp
@@ -397,7 +397,7 @@
     auto& upstream = this->upstreamOf(connection);
     if (error == StatementError::Busy) {
         upstream.busyUntil = this->now + this->options.settings.busyPause;
-        upstream.limit.onFull(this->now);
+        upstream.limit.onCapacityRefusal(this->now);
     }
     if (error == StatementError::Lagging) {
         upstream.laggingUntil = this->now
--- a/src/proxy/confirmations.cpp
+++ b/src/proxy/confirmations.cpp
@@ -111,7 +111,7 @@
     if (outdated)
         poller.connection.reset();
     // Without a connection of its own a poll would wait behind the reads, and every write with it.
-    const bool stale = poller.connection && !poller.connection->isProven();
+    const bool stale = poller.connection && !poller.connection->hasRecentAnswer();
     if (connections && (!poller.connection || stale)) {
         // Kept since the last poll it may have gone silent; the pool gives the one that answered last.
         if (auto fresh = connections->acquire())
--- a/src/proxy/home_reads.cpp
+++ b/src/proxy/home_reads.cpp
@@ -57,8 +57,9 @@
     const HomeRequest& request, const ReadState& state)
 {
     for (;;) {
-        const auto choice = state.atPrimary ? SlotChoice { NoSlot {} }
-                                            : this->tracker.choose(state.wanted, this->now(), this->random);
+        const auto choice = state.atPrimary
+            ? SlotSelection { NoSlotAvailable {} }
+            : this->tracker.selectSlot(state.wanted, this->now(), this->random);
         if (const auto* wait = std::get_if<WaitForReplica>(&choice)) {
             this->confirmations->kick();
             co_await this->pause(
@@ -119,7 +120,7 @@
     this->takeSample({ slot, answer.after, answer.sentAt, this->now() });
     if (slot == this->view.primary)
         co_return co_await this->confirmPrimaryRead(request, std::move(answer), slot);
-    if (!this->tracker.proves(state.wanted, answer.before, answer.after, answer.sentAt)) {
+    if (!this->tracker.provesFreshness(state.wanted, answer.before, answer.after, answer.sentAt)) {
         state.atPrimary = true;
         co_return std::nullopt;
     }
@@ -162,8 +163,7 @@
         && answer.before.progress >= request.seen;
     if (!usable)
         co_return std::nullopt;
-    const auto what
-        = confirmationOfPrimaryRead(request.access, answer.after, answer.sentAt, request.deadline);
+    const auto what = makePrimaryReadOptions(request.access, answer.after, answer.sentAt, request.deadline);
     if (!co_await this->confirmations->confirm(what)) {
         if (this->now() < request.deadline)
             co_return std::nullopt;
--- a/src/proxy/slot_connections.cpp
+++ b/src/proxy/slot_connections.cpp
@@ -58,7 +58,7 @@
 
 asio::awaitable<void> PooledConnection::prove(Instant deadline)
 {
-    if (this->isProven())
+    if (this->hasRecentAnswer())
         co_return;
     const std::array statements { this->slot->control.statusStatement() };
     (void)co_await this->execute(statements, std::min(deadline, this->slot->now() + proofTimeout));
@@ -75,7 +75,10 @@
 
 void PooledConnection::discard() noexcept { this->slot->drop(this->id, *this->connection); }
 
-bool PooledConnection::isProven() const { return this->slot->pool.isProven(this->id, this->slot->now()); }
+bool PooledConnection::hasRecentAnswer() const
+{
+    return this->slot->pool.hasRecentAnswer(this->id, this->slot->now());
+}
 
 const SlotName& PooledConnection::slotName() const noexcept { return this->slot->name(); }
 
--- a/src/proxy/slot_connections.h
+++ b/src/proxy/slot_connections.h
@@ -43,7 +43,7 @@
     void discard() noexcept;
 
     /// True when it has answered a moment ago.
-    [[nodiscard]] bool isProven() const;
+    [[nodiscard]] bool hasRecentAnswer() const;
 
     [[nodiscard]] const SlotName& slotName() const noexcept;
 
--- a/src/sessions/primary_read.cpp
+++ b/src/sessions/primary_read.cpp
@@ -5,7 +5,7 @@
 
 namespace cyclamendrift {
 
-Acknowledgements::Options confirmationOfPrimaryRead(
+Acknowledgements::Options makePrimaryReadOptions(
     const Access& access, const SlotStatus& after, Instant sentAt, Instant deadline)
 {
     auto options = Acknowledgements::afterCommit(after, deadline);
--- a/src/sessions/replica_tracker.cpp
+++ b/src/sessions/replica_tracker.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 /// Points of the primary's log that are kept to tell ages by; with a sample every 100 ms about 25 s.
-constexpr std::size_t historyLength = 256;
+constexpr std::size_t maxPrimaryHistory = 256;
 
 /// A slot that has been fenced above its term may hold records that the next primary will make it drop, and a
 /// primary may hold records that no other slot has. Neither proves anything to a reader.
 bool isReadable(const SlotStatus& status) { return !status.primary && status.fenced <= status.progress.term; }
 
-bool goesToPrimary(const Access& access)
+bool requiresPrimary(const Access& access)
 {
     return std::holds_alternative<PrimaryRead>(access) || std::holds_alternative<Write>(access);
 }
@@ -40,7 +40,7 @@
 void ReplicaTracker::observe(const StatusSample& sample)
 {
     if (sample.status.primary)
-        this->rememberPrimary(sample);
+        this->recordPrimaryProgress(sample);
     auto& slot = this->slots[sample.slot];
     if (sample.askedAt < slot.sample.askedAt)
         return;
@@ -48,25 +48,26 @@
     slot.usable = true;
 }
 
-void ReplicaTracker::rememberPrimary(const StatusSample& sample)
+void ReplicaTracker::recordPrimaryProgress(const StatusSample& sample)
 {
     // A primary that has been fenced is superseded: commits that it does not know of may exist by now.
     if (sample.status.fenced > sample.status.progress.term)
         return;
-    const auto behind = std::find_if(this->primaryHistory.begin(), this->primaryHistory.end(),
-        [&](const PrimaryPoint& point) { return point.askedAt > sample.askedAt; });
-    this->primaryHistory.insert(behind, { .progress = sample.status.progress, .askedAt = sample.askedAt });
-    if (this->primaryHistory.size() > historyLength)
+    const auto firstLater = std::find_if(this->primaryHistory.begin(), this->primaryHistory.end(),
+        [&](const PrimaryProgressSample& point) { return point.askedAt > sample.askedAt; });
+    this->primaryHistory.insert(
+        firstLater, { .progress = sample.status.progress, .askedAt = sample.askedAt });
+    if (this->primaryHistory.size() > maxPrimaryHistory)
         this->primaryHistory.pop_front();
 }
 
-void ReplicaTracker::started(const SlotName& slot) { ++this->slots[slot].outstanding; }
+void ReplicaTracker::started(const SlotName& slot) { ++this->slots[slot].runningStatements; }
 
 void ReplicaTracker::finished(const SlotName& slot) noexcept
 {
     const auto found = this->slots.find(slot);
-    if (found != this->slots.end() && found->second.outstanding > 0)
-        --found->second.outstanding;
+    if (found != this->slots.end() && found->second.runningStatements > 0)
+        --found->second.runningStatements;
 }
 
 void ReplicaTracker::failed(const SlotName& slot) noexcept
@@ -76,20 +77,20 @@
         found->second.usable = false;
 }
 
-SlotChoice ReplicaTracker::choose(const Request& request, Instant now, RandomSource& random) const
+SlotSelection ReplicaTracker::selectSlot(const Request& request, Instant now, RandomSource& random) const
 {
-    if (goesToPrimary(request.access))
-        return this->primaryChoice();
+    if (requiresPrimary(request.access))
+        return this->selectPrimary();
     const auto candidates = this->readableReplicas(request, now);
     if (!candidates.empty())
-        return ReadFromReplica { this->leastLoaded(candidates, random) };
-    const auto until = request.arrivedAt + this->options.patience;
-    if (now < until && this->mayCatchUp(request, now))
+        return ReadFromReplica { this->selectLessLoaded(candidates, random) };
+    const auto until = request.arrivedAt + this->options.maxCatchUpWait;
+    if (now < until && this->canCatchUp(request, now))
         return WaitForReplica { until };
-    return this->primaryChoice();
+    return this->selectPrimary();
 }
 
-bool ReplicaTracker::proves(
+bool ReplicaTracker::provesFreshness(
     const Request& request, const SlotStatus& before, const SlotStatus& after, Instant now) const
 {
     // A replica that was made to follow another primary in between has dropped the end of its log, so the
@@ -99,14 +100,14 @@
     return sameLog && isReadable(before) && this->isFresh(request, before, now);
 }
 
-std::optional<Duration> ReplicaTracker::ageOf(const SlotStatus& replica, Instant now) const
+std::optional<Duration> ReplicaTracker::stalenessBound(const SlotStatus& replica, Instant now) const
 {
     if (!isReadable(replica))
         return std::nullopt;
     // Terms have to match: a replica in another term does not prove that this primary was in force when it
     // gave its position.
     const auto covered = std::find_if(
-        this->primaryHistory.rbegin(), this->primaryHistory.rend(), [&](const PrimaryPoint& point) {
+        this->primaryHistory.rbegin(), this->primaryHistory.rend(), [&](const PrimaryProgressSample& point) {
             return point.progress.term == replica.progress.term && point.progress <= replica.progress;
         });
     if (covered == this->primaryHistory.rend())
@@ -121,23 +122,23 @@
     const auto* bounded = std::get_if<BoundedRead>(&request.access);
     if (bounded == nullptr)
         return true;
-    const auto age = this->ageOf(status, now);
+    const auto age = this->stalenessBound(status, now);
     return age && *age <= bounded->maxStaleness;
 }
 
-bool ReplicaTracker::mayRead(const SlotName& name, const Slot& slot, Instant now) const
+bool ReplicaTracker::canServeReads(const SlotName& name, const Slot& slot, Instant now) const
 {
     const bool leaving
         = std::find(this->view.leaving.begin(), this->view.leaving.end(), name) != this->view.leaving.end();
     return slot.usable && !leaving && name != this->view.primary && isReadable(slot.sample.status)
-        && now - slot.sample.receivedAt <= this->options.silentAfter;
+        && now - slot.sample.receivedAt <= this->options.maxSilence;
 }
 
 std::vector<SlotName> ReplicaTracker::readableReplicas(const Request& request, Instant now) const
 {
     std::vector<SlotName> readable;
     for (const auto& [name, slot] : this->slots) {
-        if (this->mayRead(name, slot, now) && this->isFresh(request, slot.sample.status, now))
+        if (this->canServeReads(name, slot, now) && this->isFresh(request, slot.sample.status, now))
             readable.push_back(name);
     }
     return readable;
@@ -145,28 +146,29 @@
 
 /// The better of two drawn at random: always taking the least loaded would send every home's reads to one
 /// replica as soon as the others look alike.
-const SlotName& ReplicaTracker::leastLoaded(
+const SlotName& ReplicaTracker::selectLessLoaded(
     const std::vector<SlotName>& candidates, RandomSource& random) const
 {
     std::uniform_int_distribution<std::size_t> draw { 0, candidates.size() - 1 };
     const auto& first = candidates[draw(random)];
     const auto& second = candidates[draw(random)];
-    return this->slots.at(second).outstanding < this->slots.at(first).outstanding ? second : first;
+    return this->slots.at(second).runningStatements < this->slots.at(first).runningStatements ? second
+                                                                                              : first;
 }
 
 /// Waiting helps only while some replica of the same term still answers; the next sample may then cover it.
-bool ReplicaTracker::mayCatchUp(const Request& request, Instant now) const
+bool ReplicaTracker::canCatchUp(const Request& request, Instant now) const
 {
     return std::any_of(this->slots.begin(), this->slots.end(), [&](const auto& entry) {
         const auto& [name, slot] = entry;
-        return this->mayRead(name, slot, now) && slot.sample.status.progress.term >= request.seen.term;
+        return this->canServeReads(name, slot, now) && slot.sample.status.progress.term >= request.seen.term;
     });
 }
 
-SlotChoice ReplicaTracker::primaryChoice() const
+SlotSelection ReplicaTracker::selectPrimary() const
 {
     if (this->view.phase != GroupView::Phase::Serving)
-        return NoSlot {};
+        return NoSlotAvailable {};
     return UsePrimary { this->view.primary };
 }
 
--- a/tests/connections/concurrency_limit_test.cpp
+++ b/tests/connections/concurrency_limit_test.cpp
@@ -13,10 +13,10 @@
 
 /// Nine VMs before a primary with two slots that takes 14 ms for a statement; each sends as much as its limit
 /// allows. Returns the time that a statement waited and worked, over the last part of the run.
-Duration meanTimeAtFullPrimary(bool limited)
+Duration meanLatencyAtOverloadedPrimary(bool limited)
 {
     constexpr std::size_t vms = 9;
-    constexpr std::size_t unlimited = 4;
+    constexpr std::size_t unlimitedStatements = 4;
     std::vector<ConcurrencyLimit> limits(vms);
     std::mt19937_64 random { 1 };
     std::exponential_distribution<double> work { 1 / 14.0 };
@@ -28,11 +28,13 @@
     double total = 0;
     int counted = 0;
     for (int round = 0; round < 400; ++round) {
-        std::size_t there = 0;
+        std::size_t concurrentStatements = 0;
         for (const auto& limit : limits)
-            there += limited ? std::min(limit.current(), unlimited) : unlimited;
+            concurrentStatements
+                += limited ? std::min(limit.current(), unlimitedStatements) : unlimitedStatements;
         for (auto& limit : limits) {
-            const auto ahead = std::uniform_int_distribution<std::size_t> { 0, there - 1 }(random);
+            const auto ahead
+                = std::uniform_int_distribution<std::size_t> { 0, concurrentStatements - 1 }(random);
             const auto time = work(random) + static_cast<double>(ahead) * 14.0 / 2;
             limit.onAnswer(std::chrono::microseconds { static_cast<int>(time * 1000) });
             if (round >= 200) {
@@ -53,8 +55,8 @@
         // Both replicas of a group fall behind, so nine VMs send all they have to the primary. Without a
         // limit an order waits behind two dozen reads in the primary's own queue, where nothing can let it
         // pass.
-        CHECK(meanTimeAtFullPrimary(false) > 100ms);
-        CHECK(meanTimeAtFullPrimary(true) < 60ms);
+        CHECK(meanLatencyAtOverloadedPrimary(false) > 100ms);
+        CHECK(meanLatencyAtOverloadedPrimary(true) < 60ms);
     }
 
     TEST_CASE("an upstream without load keeps getting several statements at a time")
@@ -74,10 +76,10 @@
         const Instant now { 10s };
         const auto before = limit.current();
         for (int count = 0; count < 20; ++count)
-            limit.onFull(now);
+            limit.onCapacityRefusal(now);
         CHECK(limit.current() >= before / 2);
         for (int count = 0; count < 20; ++count)
-            limit.onFull(now + count * 100ms);
+            limit.onCapacityRefusal(now + count * 100ms);
         CHECK(limit.current() == 1);
         for (int count = 0; count < 200; ++count)
             limit.onAnswer(10ms);
--- a/tests/connections/connection_pool_test.cpp
+++ b/tests/connections/connection_pool_test.cpp
@@ -71,7 +71,7 @@
         // A caller goes away in the middle of a transaction, or an answer is still under way. The next user
         // of the connection would run inside that transaction, or read that answer as its own.
         checkProperty("dirty connections are closed", [] {
-            FakeSlot slot { { .budget = 4, .warm = 1 } };
+            FakeSlot slot { { .budget = 4, .minConnections = 1 } };
             Instant now {};
             std::set<ConnectionId> dirty;
             std::set<ConnectionId> used;
@@ -108,7 +108,7 @@
     {
         // A box on the way has forgotten the connections: they look open and never answer, but new ones work.
         // Requests sent on them would hang until their deadline.
-        FakeSlot slot { { .budget = 4, .warm = 2 } };
+        FakeSlot slot { { .budget = 4, .minConnections = 2 } };
         Instant now {};
         slot.update(now, 4);
         REQUIRE(slot.pool.idle() == 4);
@@ -128,7 +128,7 @@
     {
         // Every answer takes long because the slot is overloaded. Closing the connections would add connects
         // to its load and give up work that is about to finish.
-        FakeSlot slot { { .budget = 3, .warm = 3 } };
+        FakeSlot slot { { .budget = 3, .minConnections = 3 } };
         Instant now {};
         slot.update(now, 3);
         (void)slot.use(now);
@@ -146,7 +146,7 @@
     {
         // A report takes minutes on one connection while the slot answers everything else at once. Taking it
         // for a dead peer would mean that it can never finish.
-        FakeSlot slot { { .budget = 3, .warm = 1 } };
+        FakeSlot slot { { .budget = 3, .minConnections = 1 } };
         Instant now {};
         slot.update(now, 1);
         const auto report = slot.use(now);
@@ -164,7 +164,7 @@
     {
         // All connections carry a statement when the path forgets them. Waiting for each deadline would stop
         // the database for as long, although new connections work.
-        FakeSlot slot { { .budget = 3, .warm = 3 } };
+        FakeSlot slot { { .budget = 3, .minConnections = 3 } };
         Instant now {};
         slot.update(now, 3);
         for (int index = 0; index < 3; ++index)
@@ -187,7 +187,7 @@
     {
         // Two proxies disagree about who serves the database, and the other holds the connections. Trying
         // again at once would hammer the slot with connects that it has to refuse.
-        ConnectionPool pool { { .budget = 9, .warm = 2 } };
+        ConnectionPool pool { { .budget = 9, .minConnections = 2 } };
         Instant now {};
         int attempts = 0;
         for (int step = 0; step < 1000; ++step) {
@@ -203,7 +203,7 @@
 
     TEST_CASE("the most recently proven connection goes first")
     {
-        FakeSlot slot { { .budget = 2, .warm = 2 } };
+        FakeSlot slot { { .budget = 2, .minConnections = 2 } };
         Instant now {};
         slot.update(now);
         now += 100ms;
@@ -211,13 +211,13 @@
         slot.pool.answered(id, now);
         slot.pool.release(id, ReleaseState::Clean, now);
         CHECK(slot.pool.acquire(now) == id);
-        CHECK(slot.pool.isProven(id, now));
-        CHECK_FALSE(slot.pool.isProven(id, now + 600ms));
+        CHECK(slot.pool.hasRecentAnswer(id, now));
+        CHECK_FALSE(slot.pool.hasRecentAnswer(id, now + 600ms));
     }
 
     TEST_CASE("a retired pool hands back everything")
     {
-        FakeSlot slot { { .budget = 3, .warm = 3 } };
+        FakeSlot slot { { .budget = 3, .minConnections = 3 } };
         Instant now {};
         slot.update(now);
         const auto id = slot.use(now);
@@ -252,7 +252,7 @@
 
     TEST_CASE("delays are spread and bounded")
     {
-        RetryBudget budget { { .maxSaved = 1000, .maxRetriesPerRequest = 8, .maxDelay = 100ms } };
+        RetryBudget budget { { .maxTokens = 1000, .maxRetriesPerRequest = 8, .maxDelay = 100ms } };
         RandomSource random { 1 };
         std::set<Duration> delays;
         for (int index = 0; index < 100; ++index) {
--- a/tests/connections/fair_queue_test.cpp
+++ b/tests/connections/fair_queue_test.cpp
@@ -14,8 +14,8 @@
 const TeamName small { "small" };
 const TeamName large { "large" };
 
-/// Requests with tickets of their own.
-class Requests {
+/// RequestFactory with tickets of their own.
+class RequestFactory {
 public:
     QueuedRequest next(TeamName team, Instant deadline, Priority priority = Priority::Normal)
     {
@@ -29,13 +29,13 @@
     std::uint64_t lastTicket = 0;
 };
 
-bool isTaken(const Admission& admission) { return std::holds_alternative<Queued>(admission); }
+bool isQueued(const Admission& admission) { return std::holds_alternative<Queued>(admission); }
 
 /// Share of served requests that team `small` gets while both teams always wait.
 double servedShareOfSmall(std::uint32_t weight, int perRound, int rounds)
 {
     FairQueue queue { { .connections = 4, .expectedHold = 1ms } };
-    Requests requests;
+    RequestFactory requests;
     const Instant start {};
     int servedOfSmall = 0;
     for (int round = 0; round < rounds; ++round) {
@@ -69,7 +69,7 @@
             constexpr int teamCount = 4;
             constexpr int rounds = 600;
             FairQueue queue { { .connections = 1, .expectedHold = 2ms } };
-            Requests requests;
+            RequestFactory requests;
             const Instant start {};
             std::map<TeamName, std::uint32_t> weights;
             std::map<TeamName, Duration> holds;
@@ -109,7 +109,7 @@
             const int others = *rc::gen::inRange(1, 8);
             const int backlog = *rc::gen::inRange(1, 60);
             FairQueue queue { { .connections = 1, .expectedHold = 1ms } };
-            Requests requests;
+            RequestFactory requests;
             const Instant start {};
             for (int index = 0; index < others; ++index) {
                 for (int copy = 0; copy < backlog; ++copy)
@@ -130,10 +130,10 @@
     TEST_CASE("orders go before lookups within a team")
     {
         FairQueue queue { { .connections = 1 } };
-        Requests requests;
+        RequestFactory requests;
         const Instant start {};
-        CHECK(isTaken(queue.push(requests.next(small, start + 1s), start)));
-        CHECK(isTaken(queue.push(requests.next(small, start + 1s, Priority::High), start)));
+        CHECK(isQueued(queue.push(requests.next(small, start + 1s), start)));
+        CHECK(isQueued(queue.push(requests.next(small, start + 1s, Priority::High), start)));
         CHECK(queue.pop()->priority == Priority::High);
         CHECK(queue.pop()->priority == Priority::Normal);
     }
@@ -143,7 +143,7 @@
         // A team marks everything it sends as high priority. Without a bound on the lead that this gives, the
         // lookups of the other team would never be served.
         FairQueue queue { { .connections = 1, .priorityLead = 20ms, .expectedHold = 2ms } };
-        Requests requests;
+        RequestFactory requests;
         const Instant start {};
         constexpr int served = 400;
         int lookups = 0;
@@ -163,24 +163,24 @@
         // The upstream has become slow, and the queue is longer than a request can wait. If it were taken,
         // its caller would hear only at the deadline that it was in vain.
         FairQueue queue { { .connections = 2, .expectedHold = 10ms } };
-        Requests requests;
+        RequestFactory requests;
         const Instant start {};
         for (int index = 0; index < 20; ++index)
-            REQUIRE(isTaken(queue.push(requests.next(large, start + 1s), start)));
+            REQUIRE(isQueued(queue.push(requests.next(large, start + 1s), start)));
         const auto refused = queue.push(requests.next(large, start + 50ms), start);
         REQUIRE(std::holds_alternative<QueueRefusal>(refused));
         const auto& refusal = std::get<QueueRefusal>(refused);
         CHECK(refusal.reason == RefusalReason::Overloaded);
         CHECK(refusal.retryAfter == 60ms);
-        CHECK(isTaken(queue.push(requests.next(large, start + 111ms), start)));
-        CHECK(isTaken(queue.push(requests.next(small, start + 50ms), start)));
+        CHECK(isQueued(queue.push(requests.next(large, start + 111ms), start)));
+        CHECK(isQueued(queue.push(requests.next(small, start + 50ms), start)));
     }
 
     TEST_CASE("what is taken while service is constant is served in time")
     {
         checkProperty("no admitted request is late while nothing more important comes", [] {
             FairQueue queue { { .connections = 1, .expectedHold = 2ms } };
-            Requests requests;
+            RequestFactory requests;
             Instant now {};
             const auto pushes = *rc::gen::container<std::vector<int>>(rc::gen::inRange(1, 120));
             for (const auto milliseconds : pushes)
@@ -198,10 +198,10 @@
     TEST_CASE("during an outage what can wait is held and the rest refused")
     {
         FairQueue queue { { .connections = 1 } };
-        Requests requests;
+        RequestFactory requests;
         const Instant start {};
         queue.setAvailableFrom(start + 3s, RefusalReason::NoPrimary);
-        CHECK(isTaken(queue.push(requests.next(small, start + 5s), start)));
+        CHECK(isQueued(queue.push(requests.next(small, start + 5s), start)));
         const auto refused = queue.push(requests.next(small, start + 1s), start);
         REQUIRE(std::holds_alternative<QueueRefusal>(refused));
         CHECK(std::get<QueueRefusal>(refused).reason == RefusalReason::NoPrimary);
@@ -213,13 +213,13 @@
         // One team has filled every place. Without pushing out, the next to come would be refused whoever it
         // is, and the flooding team would keep all places as long as it sends faster.
         FairQueue queue { { .connections = 100, .maxQueued = 10, .maxQueuedPerTeam = 10 } };
-        Requests requests;
+        RequestFactory requests;
         const Instant start {};
         for (int index = 0; index < 10; ++index)
-            REQUIRE(isTaken(queue.push(requests.next(large, start + 1h), start)));
-        CHECK_FALSE(isTaken(queue.push(requests.next(large, start + 1h), start)));
+            REQUIRE(isQueued(queue.push(requests.next(large, start + 1h), start)));
+        CHECK_FALSE(isQueued(queue.push(requests.next(large, start + 1h), start)));
         const auto admission = queue.push(requests.next(small, start + 1h), start);
-        REQUIRE(isTaken(admission));
+        REQUIRE(isQueued(admission));
         CHECK(std::get<Queued>(admission).evicted->ticket == QueueTicket { 10 });
         CHECK(queue.size() == 10);
         CHECK(queue.pop()->team == large);
@@ -229,7 +229,7 @@
     {
         checkProperty("popped, evicted, expired or still there", [] {
             FairQueue queue { { .connections = 2, .maxQueued = 8, .maxQueuedPerTeam = 6 } };
-            Requests requests;
+            RequestFactory requests;
             Instant now {};
             std::set<QueueTicket> waiting;
             const auto leave
@@ -241,7 +241,7 @@
                     const auto priority = step == 4 ? Priority::High : Priority::Normal;
                     const auto request = requests.next(step < 3 ? large : small, now + 20ms, priority);
                     const auto admission = queue.push(request, now);
-                    if (!isTaken(admission))
+                    if (!isQueued(admission))
                         continue;
                     waiting.insert(request.ticket);
                     if (const auto& evicted = std::get<Queued>(admission).evicted)
--- a/tests/failover/group_world.cpp
+++ b/tests/failover/group_world.cpp
@@ -298,8 +298,8 @@
     proxy.waiting.clear();
     proxy.held.clear();
     proxy.polling = false;
-    proxy.tracker
-        = std::make_unique<ReplicaTracker>(ReplicaTracker::Options { .patience = this->options.patience });
+    proxy.tracker = std::make_unique<ReplicaTracker>(
+        ReplicaTracker::Options { .maxCatchUpWait = this->options.maxCatchUpWait });
     proxy.coordinator = std::make_unique<FailoverCoordinator>(FailoverCoordinator::Options {
         .vm = VmName { "vm" + std::to_string(index) + '.' + std::to_string(proxy.life) },
         .slots = names,
--- a/tests/failover/group_world.h
+++ b/tests/failover/group_world.h
@@ -31,7 +31,7 @@
         cyclamendrift::Duration replicaLag = std::chrono::milliseconds { 2 };
         cyclamendrift::Duration writeInterval = std::chrono::milliseconds { 100 };
         cyclamendrift::Duration readInterval = std::chrono::milliseconds { 50 };
-        cyclamendrift::Duration patience = std::chrono::milliseconds { 5 };
+        cyclamendrift::Duration maxCatchUpWait = std::chrono::milliseconds { 5 };
         /// Each event reaches a coordinator a second time, later, with this chance in 100.
         unsigned duplicatesInHundred = 0;
         bool readsFromPrimaryOnly = false;
--- a/tests/failover/group_world_sessions.cpp
+++ b/tests/failover/group_world_sessions.cpp
@@ -160,9 +160,9 @@
         .access = access, .seen = this->sessions[caller.session].seen, .arrivedAt = begunAt
     };
     auto& tracker = *this->proxies[proxyIndex].tracker;
-    auto choice = tracker.choose(request, this->clock, this->random);
+    auto choice = tracker.selectSlot(request, this->clock, this->random);
     if (this->options.readsFromPrimaryOnly)
-        choice = tracker.choose({ .access = PrimaryRead {}, .seen = request.seen, .arrivedAt = begunAt },
+        choice = tracker.selectSlot({ .access = PrimaryRead {}, .seen = request.seen, .arrivedAt = begunAt },
             this->clock, this->random);
     const auto again
         = [this, proxyIndex, caller, access, begunAt] { this->read(proxyIndex, caller, access, begunAt); };
@@ -209,11 +209,12 @@
             };
             if (onPrimary && before->progress >= request.seen) {
                 this->awaitConfirmation(proxyIndex,
-                    confirmationOfPrimaryRead(
+                    makePrimaryReadOptions(
                         request.access, sample->status, sentAt, sentAt + confirmationDeadline),
                     { .onConfirmed = done, .onGivenUp = fail });
             } else if (!onPrimary
-                && this->proxies[proxyIndex].tracker->proves(request, *before, sample->status, this->clock)) {
+                && this->proxies[proxyIndex].tracker->provesFreshness(
+                    request, *before, sample->status, this->clock)) {
                 done();
             } else {
                 this->at(this->clock + 1ms, [=, this] {
--- a/tests/sessions/session_token_test.cpp
+++ b/tests/sessions/session_token_test.cpp
@@ -12,18 +12,18 @@
 
 namespace {
 
-DatabaseName databaseNumber(std::uint8_t number)
+DatabaseName makeDatabase(std::uint8_t number)
 {
     return { ServiceName { number % 2 == 0 ? "register" : "orders" }, "d" + std::to_string(number % 8) };
 }
 
 using Observations = std::vector<std::tuple<std::uint8_t, std::uint32_t, std::uint64_t>>;
 
-SessionToken tokenOf(const Observations& observations)
+SessionToken makeToken(const Observations& observations)
 {
     SessionToken token;
     for (const auto& [database, term, position] : observations)
-        token.observe(databaseNumber(database), { Term { term }, LogPosition { position } });
+        token.observe(makeDatabase(database), { Term { term }, LogPosition { position } });
     return token;
 }
 
@@ -40,7 +40,7 @@
     TEST_CASE("a token comes back whole from its text")
     {
         checkProperty("decode(encode) is the same", [](const Observations& observations) {
-            const auto token = tokenOf(observations);
+            const auto token = makeToken(observations);
             RC_ASSERT(SessionToken::decode(token.encode()) == token);
         });
     }
@@ -49,14 +49,14 @@
     {
         checkProperty("commutative, associative, idempotent, monotonic",
             [](const Observations& a, const Observations& b, const Observations& c) {
-                const auto x = tokenOf(a);
-                const auto y = tokenOf(b);
-                const auto z = tokenOf(c);
+                const auto x = makeToken(a);
+                const auto y = makeToken(b);
+                const auto z = makeToken(c);
                 RC_ASSERT(merged(x, y) == merged(y, x));
                 RC_ASSERT(merged(merged(x, y), z) == merged(x, merged(y, z)));
                 RC_ASSERT(merged(x, x) == x);
                 for (std::uint8_t number = 0; number < 8; ++number) {
-                    const auto name = databaseNumber(number);
+                    const auto name = makeDatabase(number);
                     RC_ASSERT(merged(x, y).progressOf(name) >= x.progressOf(name));
                     RC_ASSERT(
                         merged(x, y).progressOf(name) == std::max(x.progressOf(name), y.progressOf(name)));
