--- a/include/cyclamendrift/connections/connection_pool.h
+++ b/include/cyclamendrift/connections/connection_pool.h
@@ -120,7 +120,7 @@
         Instant sentAt = noExchange;
     };
 
-    void closeSilentProbes(Instant now, std::vector<PoolAction>& actions);
+    void closeDeadProbes(Instant now, std::vector<PoolAction>& actions);
     void closeOldestSuspect(Instant now, std::vector<PoolAction>& actions);
     void probeIdle(Instant now, std::vector<PoolAction>& actions);
     void openMissing(Instant now, std::size_t waiting, std::vector<PoolAction>& actions);
--- a/include/cyclamendrift/connections/fair_queue.h
+++ b/include/cyclamendrift/connections/fair_queue.h
@@ -112,10 +112,10 @@
     };
     using Teams = std::map<TeamName, Team>;
 
-    [[nodiscard]] Team& teamOf(const QueuedRequest& request);
+    [[nodiscard]] Team& activateTeam(const QueuedRequest& request);
     [[nodiscard]] double backlogSeconds(const QueuedRequest& request) const;
     [[nodiscard]] std::optional<QueuedRequest> makeRoomFor(const QueuedRequest& request);
-    [[nodiscard]] std::optional<QueuedRequest> evictFor(const QueuedRequest& request);
+    [[nodiscard]] std::optional<QueuedRequest> evictFromLongestQueue(const QueuedRequest& request);
     [[nodiscard]] Teams::iterator selectNext();
     [[nodiscard]] Teams::iterator selectHighPriority(const Team& leastServed);
     [[nodiscard]] QueuedRequest popFrom(Team& team);
--- a/src/connections/connection_pool.cpp
+++ b/src/connections/connection_pool.cpp
@@ -18,7 +18,7 @@
     this->toClose.clear();
     if (this->retired)
         return actions;
-    this->closeSilentProbes(now, actions);
+    this->closeDeadProbes(now, actions);
     this->closeOldestSuspect(now, actions);
     this->probeIdle(now, actions);
     this->openMissing(now, waiting, actions);
@@ -30,16 +30,16 @@
     return entry.sentAt != noExchange && now - entry.sentAt >= this->options.suspectAfter;
 }
 
-void ConnectionPool::closeSilentProbes(Instant now, std::vector<PoolAction>& actions)
+void ConnectionPool::closeDeadProbes(Instant now, std::vector<PoolAction>& actions)
 {
     // Something between the two ends may have lost track of a connection: it stays open and never answers. A
     // probe has next to no work, so one that is not answered while the slot answers elsewhere is that, and
     // not a slow answer. When nothing is answered, the slot is slow or gone, and closing would only add
     // connects to its troubles.
     for (auto entry = this->connections.begin(); entry != this->connections.end();) {
-        const bool silent = entry->second.phase == Phase::Probing && this->isSuspect(entry->second, now)
+        const bool isDead = entry->second.phase == Phase::Probing && this->isSuspect(entry->second, now)
             && this->lastSlotAnswerAt > entry->second.sentAt;
-        if (!silent) {
+        if (!isDead) {
             ++entry;
             continue;
         }
@@ -54,8 +54,8 @@
     // connection. So suspects keep their connections until their deadline as long as any other is left. Only
     // when all of the budget is suspect and the slot answers elsewhere is the oldest given up, one at a time:
     // otherwise a wave of silent connections would stop everything until the last deadline.
-    const bool full = this->connections.size() >= this->options.budget;
-    if (!full || now - this->lastSuspectClose < this->options.suspectCloseInterval)
+    const bool isBudgetUsed = this->connections.size() >= this->options.budget;
+    if (!isBudgetUsed || now - this->lastSuspectClose < this->options.suspectCloseInterval)
         return;
     auto oldest = this->connections.end();
     for (auto entry = this->connections.begin(); entry != this->connections.end(); ++entry) {
--- a/src/connections/fair_queue.cpp
+++ b/src/connections/fair_queue.cpp
@@ -40,7 +40,7 @@
 {
 }
 
-FairQueue::Team& FairQueue::teamOf(const QueuedRequest& request)
+FairQueue::Team& FairQueue::activateTeam(const QueuedRequest& request)
 {
     auto [entry, isNew] = this->teams.try_emplace(request.team);
     auto& team = entry->second;
@@ -100,7 +100,7 @@
         if (!result.evicted)
             return QueueRefusal { RefusalReason::Overloaded, std::max(wait, hold) };
     }
-    auto& team = this->teamOf(request);
+    auto& team = this->activateTeam(request);
     auto& requests = request.priority == Priority::High ? team.high : team.normal;
     requests.push_back(std::move(request));
     ++this->queued;
@@ -120,10 +120,10 @@
     }
     if (own != this->teams.end() && own->second.size() >= this->options.maxQueuedPerTeam)
         return std::nullopt;
-    return this->evictFor(request);
+    return this->evictFromLongestQueue(request);
 }
 
-std::optional<QueuedRequest> FairQueue::evictFor(const QueuedRequest& request)
+std::optional<QueuedRequest> FairQueue::evictFromLongestQueue(const QueuedRequest& request)
 {
     // A full queue would otherwise refuse whoever comes next, so that one team's flood would take the places
     // of all others: the request to go is the newest of the team that holds most places for its weight.
--- a/src/sessions/replica_tracker.cpp
+++ b/src/sessions/replica_tracker.cpp
@@ -95,9 +95,9 @@
 {
     // A replica that was made to follow another primary in between has dropped the end of its log, so the
     // first status says nothing of what the statement saw.
-    const bool sameLog = before.progress.term == after.progress.term && before.progress <= after.progress
+    const bool isSameLog = before.progress.term == after.progress.term && before.progress <= after.progress
         && isReadable(after);
-    return sameLog && isReadable(before) && this->isFresh(request, before, now);
+    return isSameLog && isReadable(before) && this->isFresh(request, before, now);
 }
 
 std::optional<Duration> ReplicaTracker::stalenessBound(const SlotStatus& replica, Instant now) const
@@ -106,13 +106,13 @@
         return std::nullopt;
     // Terms have to match: a replica in another term does not prove that this primary was in force when it
     // gave its position.
-    const auto covered = std::find_if(
+    const auto newestCovered = std::find_if(
         this->primaryHistory.rbegin(), this->primaryHistory.rend(), [&](const PrimaryProgressSample& point) {
             return point.progress.term == replica.progress.term && point.progress <= replica.progress;
         });
-    if (covered == this->primaryHistory.rend())
+    if (newestCovered == this->primaryHistory.rend())
         return std::nullopt;
-    return now - covered->askedAt;
+    return now - newestCovered->askedAt;
 }
 
 bool ReplicaTracker::isFresh(const Request& request, const SlotStatus& status, Instant now) const
--- a/tests/connections/connection_pool_test.cpp
+++ b/tests/connections/connection_pool_test.cpp
@@ -114,13 +114,13 @@
         REQUIRE(slot.pool.idle() == 4);
         for (std::uint64_t id = 1; id <= 4; ++id)
             slot.silent.insert(ConnectionId { id });
-        const auto wave = now;
-        while (slot.closed.size() < 3 && now < wave + 20s) {
+        const auto silentSince = now;
+        while (slot.closed.size() < 3 && now < silentSince + 20s) {
             now += 100ms;
             slot.pool.slotAnswered(now);
             slot.update(now);
         }
-        CHECK(now - wave <= 3s);
+        CHECK(now - silentSince <= 3s);
         CHECK(slot.pool.acquire(now).has_value());
     }
 
--- a/tests/connections/fair_queue_test.cpp
+++ b/tests/connections/fair_queue_test.cpp
@@ -232,7 +232,7 @@
             RequestFactory requests;
             Instant now {};
             std::set<QueueTicket> waiting;
-            const auto leave
+            const auto removeWaiting
                 = [&](const QueuedRequest& request) { RC_ASSERT(waiting.erase(request.ticket) == 1U); };
             const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 8));
             for (const auto step : steps) {
@@ -245,14 +245,14 @@
                         continue;
                     waiting.insert(request.ticket);
                     if (const auto& evicted = std::get<Queued>(admission).evicted)
-                        leave(*evicted);
+                        removeWaiting(*evicted);
                 } else if (step == 5) {
                     for (const auto& request : queue.expire(now)) {
                         RC_ASSERT(request.deadline <= now);
-                        leave(request);
+                        removeWaiting(request);
                     }
                 } else if (const auto request = queue.pop()) {
-                    leave(*request);
+                    removeWaiting(*request);
                     queue.finished(*request, 3ms);
                 }
                 RC_ASSERT(queue.size() == waiting.size());
