--- a/include/cyclamendrift/sessions/primary_read.h
+++ b/include/cyclamendrift/sessions/primary_read.h
@@ -7,9 +7,10 @@
 
 namespace cyclamendrift {
 
-/// What the answer of a read at the primary has to wait for: that its rows cannot vanish, and for a primary
-/// or bounded read that this slot was still the primary when the read was sent. A bounded read is given up
-/// when its rows have grown too old. A read that is given up has had no effect and may be sent again.
+/// Returns the conditions under which the answer of a read at the primary may be released: its rows cannot
+/// be lost in a failover, and for a primary or bounded read the slot was still the primary at `sentAt`. A
+/// bounded read also expires when its rows exceed the allowed staleness. An expired read has had no effect
+/// and may be sent again.
 ///
 ///     acknowledgements.add(makePrimaryReadOptions(access, after, sentAt, deadline));
 [[nodiscard]] Acknowledgements::Options makePrimaryReadOptions(
--- a/include/cyclamendrift/sessions/replica_tracker.h
+++ b/include/cyclamendrift/sessions/replica_tracker.h
@@ -16,73 +16,73 @@
 
 namespace cyclamendrift {
 
-/// Send the statement to this replica, as [status; statement; status]; see ReplicaTracker::proves.
+/// Send the statement to this replica, between two status queries; see ReplicaTracker::provesFreshness().
 struct ReadFromReplica {
     SlotName slot;
 };
-/// Send the statement to the primary; a read's answer then waits in Acknowledgements.
+/// Send the statement to the primary. The answer of a read has to be confirmed through Acknowledgements.
 struct UsePrimary {
     SlotName slot;
 };
-/// Ask again at the next sample, or at this time at the latest.
+/// Call selectSlot() again after the next status sample, or at `until` at the latest.
 struct WaitForReplica {
     Instant until;
 };
-/// No slot is good for it now; hold it until the view changes or its deadline.
+/// No slot can take the statement; hold it until the view changes or its deadline passes.
 struct NoSlotAvailable { };
-/// Where a statement goes.
+/// The slot for a statement, or what to wait for.
 using SlotSelection = std::variant<ReadFromReplica, UsePrimary, WaitForReplica, NoSlotAvailable>;
 
-/// Knows how far each slot has come and picks the one for a statement, so that as many reads as possible go
-/// to replicas while sessions read their writes, never go back, and bounded reads keep their bound.
+/// Tracks the progress of each slot of a group and selects the slot for a statement. Sends as many reads as
+/// possible to replicas while it keeps read-your-writes, monotonic reads and the bounds of bounded reads.
 ///
-///     const auto choice = tracker.choose({ .access = SessionRead {}, .seen = seen, .arrivedAt = now }, now,
-///     random);
+///     const auto selection
+///         = tracker.selectSlot({ .access = SessionRead {}, .seen = seen, .arrivedAt = now }, now, random);
 class ReplicaTracker {
 public:
     struct Options {
-        /// A replica that has not answered for this long gets no reads.
+        /// Longest time since a replica's last status at which it still gets reads.
         Duration maxSilence = std::chrono::seconds { 2 };
-        /// How long a read may wait for a replica to catch up before it goes to the primary.
+        /// Longest time that a read waits for a replica to catch up before it goes to the primary.
         Duration maxCatchUpWait = std::chrono::milliseconds { 5 };
     };
 
     /// A statement that needs a slot.
     struct Request {
         Access access;
-        /// What the session has seen; every read must cover it.
+        /// The progress that the session has seen; a read needs a slot that has reached it.
         Progress seen;
-        /// When the home took it in; waiting counts from here.
+        /// When the home proxy received the statement; maxCatchUpWait starts here.
         Instant arrivedAt;
     };
 
     explicit ReplicaTracker(Options options);
 
-    /// Takes in a view; drops what was known of slots that are no members any more.
+    /// Replaces the view unless its term is older, and forgets slots that are no longer members.
     void setView(GroupView view);
 
-    /// Takes in what a slot said of itself, primary or replica.
+    /// Records a status sample of the primary or of a replica.
     void observe(const StatusSample& sample);
 
-    /// Counts a statement in progress at a slot, for the spreading of load.
+    /// Counts a statement that runs at a slot, for load balancing.
     void started(const SlotName& slot);
-    /// Ends what started() counted.
+    /// Reports the end of a statement that was reported by started().
     void finished(const SlotName& slot) noexcept;
-    /// Keeps reads off a slot until its next sample.
+    /// Excludes a slot from reads until its next status sample.
     void failed(const SlotName& slot) noexcept;
 
-    /// Where a statement goes now.
+    /// Selects the slot for a statement.
     [[nodiscard]] SlotSelection selectSlot(const Request& request, Instant now, RandomSource& random) const;
 
-    /// True when the two statuses read around a statement, on the same connection to a replica, prove that
-    /// its rows were fresh enough. When false, the read has to be sent elsewhere. On true, the session has
-    /// seen `after.progress`.
+    /// True if the statuses read before and after a statement, on the same connection to a replica, prove
+    /// that its rows were fresh enough; the session has then seen `after.progress`. If false, the read has to
+    /// be sent to another slot.
     [[nodiscard]] bool provesFreshness(
         const Request& request, const SlotStatus& before, const SlotStatus& after, Instant sentAt) const;
 
-    /// How old the data of a replica with this status may be at most; empty when nothing bounds it. The age
-    /// is counted from when a covered status of the primary was asked for, so it is true also when the
-    /// primary has been out of reach since.
+    /// Returns an upper bound on the staleness of a replica with this status; empty if there is none. The
+    /// bound counts from when the newest primary status that the replica covers was requested, so it also
+    /// holds while the primary cannot be reached.
     [[nodiscard]] std::optional<Duration> stalenessBound(const SlotStatus& replica, Instant now) const;
 
 private:
--- a/include/cyclamendrift/sessions/session_error.h
+++ b/include/cyclamendrift/sessions/session_error.h
@@ -4,7 +4,7 @@
 
 namespace cyclamendrift {
 
-/// A session token that was not made by this system, or that has grown past its bound.
+/// Thrown for a session token that cannot be decoded or that has no room for another database.
 class SessionError : public Error {
 public:
     using Error::Error;
--- a/include/cyclamendrift/sessions/session_token.h
+++ b/include/cyclamendrift/sessions/session_token.h
@@ -10,40 +10,41 @@
 
 namespace cyclamendrift {
 
-/// What a session has seen of each database. The caller holds it as text, so that it is good at any proxy and
-/// none of them keeps anything for a session.
+/// The progress that a session has seen in each database. The caller keeps it as text and sends it with each
+/// request, so any proxy can serve the session and none stores state for it.
 ///
 ///     auto token = SessionToken::decode(request.session_token());
 ///     token.observe(database, answer.seen);
 ///     response.set_session_token(token.encode());
 class SessionToken {
 public:
-    /// Databases that one token may name. A token is refused past it: dropping an entry would break
-    /// read-your-writes without a sign.
+    /// Most databases in a token. Further ones are rejected, since dropping an entry would silently break
+    /// read-your-writes.
     static constexpr std::size_t maxDatabases = 64;
-    /// Characters that a token may have as text.
+    /// Longest encoded token, in characters.
     static constexpr std::size_t maxTextLength = 16384;
 
-    /// The token that a text stands for; the empty text is the start of a session. Throws SessionError when
-    /// the text is not one that encode() gave.
+    /// Decodes a token; an empty text gives the token of a new session. Throws SessionError if the text is
+    /// not a valid token.
     [[nodiscard]] static SessionToken decode(std::string_view text);
 
-    /// The token as text of letters, digits, '-' and '_'; equal tokens give equal texts.
+    /// Encodes the token as URL-safe base64; equal tokens give equal texts.
     [[nodiscard]] std::string encode() const;
 
-    /// What the session has seen of a database; term and position 0 when nothing.
+    /// Returns the progress seen in a database; term and position are 0 if there is none.
     ///
     ///     token.progressOf(beds); // Progress { Term { 3 }, LogPosition { 4711 } }
     [[nodiscard]] Progress progressOf(const DatabaseName& database) const noexcept;
 
-    /// True when observe() of this database will not throw. Ask it before a statement is run: afterwards its
-    /// answer could no longer be given truly.
+    /// True if observe() accepts this database. To be checked before a statement runs, as a full token could
+    /// not record the progress of its answer afterwards.
     [[nodiscard]] bool hasRoomFor(const DatabaseName& database) const noexcept;
 
-    /// Adds what an answer has shown; never goes back. Throws SessionError when there is no room.
+    /// Raises the progress of a database to that of an answer; never lowers it. Throws SessionError if there
+    /// is no room.
     void observe(const DatabaseName& database, Progress progress);
 
-    /// Takes over the further progress of each database. Throws SessionError when there is no room.
+    /// Takes the maximum of both tokens for each database. Throws SessionError if there is no room.
     void merge(const SessionToken& other);
 
     friend bool operator==(const SessionToken&, const SessionToken&) = default;
--- a/src/sessions/primary_read.cpp
+++ b/src/sessions/primary_read.cpp
@@ -9,11 +9,11 @@
     const Access& access, const SlotStatus& after, Instant sentAt, Instant deadline)
 {
     auto options = Acknowledgements::afterCommit(after, deadline);
-    // A slot that has become a replica meanwhile may be far behind its new primary.
+    // A slot that has become a replica may lag far behind its new primary; afterCommit() gives up its reads.
     if (!after.primary || std::holds_alternative<SessionRead>(access))
         return options;
     options.notBefore = sentAt;
-    // A confirmation can be long in coming; by then the rows are as old as the wait.
+    // The rows age while the read waits for its confirmation.
     if (const auto* bounded = std::get_if<BoundedRead>(&access))
         options.deadline = std::min(options.deadline, sentAt + bounded->maxStaleness);
     return options;
--- a/src/sessions/replica_tracker.cpp
+++ b/src/sessions/replica_tracker.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// Points of the primary's log that are kept to tell ages by; with a sample every 100 ms about 25 s.
+/// Primary samples kept to compute staleness; covers about 25 s with a sample every 100 ms.
 constexpr std::size_t maxPrimaryHistory = 256;
 
-/// A slot that has been fenced above its term may hold records that the next primary will make it drop, and a
-/// primary may hold records that no other slot has. Neither proves anything to a reader.
+/// False for a slot that is fenced above its term, whose log the next primary may truncate, and for a
+/// primary, which may hold records that no other slot has. Their statuses prove nothing about the rows read.
 bool isReadable(const SlotStatus& status) { return !status.primary && status.fenced <= status.progress.term; }
 
 bool requiresPrimary(const Access& access)
@@ -50,7 +50,7 @@
 
 void ReplicaTracker::recordPrimaryProgress(const StatusSample& sample)
 {
-    // A primary that has been fenced is superseded: commits that it does not know of may exist by now.
+    // A fenced primary has been superseded, so there may be commits that it does not know of.
     if (sample.status.fenced > sample.status.progress.term)
         return;
     const auto firstLater = std::find_if(this->primaryHistory.begin(), this->primaryHistory.end(),
@@ -93,8 +93,8 @@
 bool ReplicaTracker::provesFreshness(
     const Request& request, const SlotStatus& before, const SlotStatus& after, Instant now) const
 {
-    // A replica that was made to follow another primary in between has dropped the end of its log, so the
-    // first status says nothing of what the statement saw.
+    // A replica that switched to another primary in between has truncated its log, so the first status does
+    // not bound what the statement read.
     const bool isSameLog = before.progress.term == after.progress.term && before.progress <= after.progress
         && isReadable(after);
     return isSameLog && isReadable(before) && this->isFresh(request, before, now);
@@ -104,8 +104,8 @@
 {
     if (!isReadable(replica))
         return std::nullopt;
-    // Terms have to match: a replica in another term does not prove that this primary was in force when it
-    // gave its position.
+    // The terms must match: a replica in another term does not prove that this primary was still the primary
+    // when it reported its position.
     const auto newestCovered = std::find_if(
         this->primaryHistory.rbegin(), this->primaryHistory.rend(), [&](const PrimaryProgressSample& point) {
             return point.progress.term == replica.progress.term && point.progress <= replica.progress;
@@ -144,8 +144,8 @@
     return readable;
 }
 
-/// The better of two drawn at random: always taking the least loaded would send every home's reads to one
-/// replica as soon as the others look alike.
+/// Takes the less loaded of two random candidates. Always taking the least loaded one would send the reads of
+/// all home proxies to the same replica whenever their other replicas are equally loaded.
 const SlotName& ReplicaTracker::selectLessLoaded(
     const std::vector<SlotName>& candidates, RandomSource& random) const
 {
@@ -156,7 +156,8 @@
                                                                                               : first;
 }
 
-/// Waiting helps only while some replica of the same term still answers; the next sample may then cover it.
+/// True while a replica in the session's term or a later one still answers, as its next sample may have
+/// caught up.
 bool ReplicaTracker::canCatchUp(const Request& request, Instant now) const
 {
     return std::any_of(this->slots.begin(), this->slots.end(), [&](const auto& entry) {
--- a/src/sessions/session_token.cpp
+++ b/src/sessions/session_token.cpp
@@ -12,17 +12,17 @@
 SessionToken SessionToken::decode(std::string_view text)
 {
     if (text.size() > SessionToken::maxTextLength)
-        throw SessionError { "the session token is too long" };
+        throw SessionError { "session token exceeds the maximum length" };
     wire::SessionToken message;
     const auto bytes = fromBase64(text, Base64Form::UrlSafe);
     if (!bytes)
-        throw SessionError { "the session token is not base64" };
+        throw SessionError { "session token is not URL-safe base64" };
     if (!message.ParseFromString(*bytes))
-        throw SessionError { "the session token cannot be read" };
+        throw SessionError { "session token is not a valid protobuf message" };
     SessionToken token;
     for (const auto& entry : message.entries()) {
         if (entry.service().empty() || entry.database().empty())
-            throw SessionError { "the session token names no database" };
+            throw SessionError { "session token has an entry with an empty service or database name" };
         token.observe({ ServiceName { entry.service() }, entry.database() },
             { Term { entry.term() }, LogPosition { entry.position() } });
     }
@@ -56,7 +56,7 @@
 void SessionToken::observe(const DatabaseName& database, Progress progress)
 {
     if (!this->hasRoomFor(database))
-        throw SessionError { "the session names too many databases" };
+        throw SessionError { "session token has no room for another database" };
     auto& known = this->seen[database];
     known = std::max(known, progress);
 }
--- a/tests/sessions/replica_tracker_test.cpp
+++ b/tests/sessions/replica_tracker_test.cpp
@@ -49,8 +49,8 @@
 
 TEST_SUITE("replica tracker")
 {
-    // A shop places an order and looks it up while the replica lags. Read there, the order would seem lost.
-    TEST_CASE("a session read goes only to a replica that covers the session")
+    // Guards against a read from a lagging replica that does not show the session's own write.
+    TEST_CASE("a session read goes only to a replica that has reached the session's progress")
     {
         RandomSource random { 1 };
         auto tracker = makeTwoSlotTracker();
@@ -67,9 +67,9 @@
             uncovered, makeStatus(progressAt(1, 11)), makeStatus(progressAt(1, 11)), start));
     }
 
-    // The primary is out of reach and its last known position was covered long ago. The replica's data age
-    // although its own answers are fresh; a listing marked "at most 2 s old" would be a false promise.
-    TEST_CASE("the age of a replica grows while the primary is silent, from when it was asked")
+    // Guards against a bounded read returning rows beyond its bound: while the primary cannot be reached, a
+    // replica's rows become stale although its own statuses are recent.
+    TEST_CASE("staleness counts from the primary's last status request while the primary is unreachable")
     {
         RandomSource random { 1 };
         auto tracker = makeTwoSlotTracker();
@@ -86,9 +86,9 @@
             tracker.selectSlot(makeRequest(BoundedRead { .maxStaleness = 3s }), later, random)));
     }
 
-    // The replicas fall silent for a while after the primary answered a read. When they confirm it at last,
-    // its rows are older than the caller allows.
-    TEST_CASE("a bounded read at the primary is given up when its rows have grown too old")
+    // Guards against rows beyond the bound when the replicas confirm the primary only long after it has
+    // answered the read.
+    TEST_CASE("a bounded read at the primary expires when its rows exceed the bound")
     {
         const auto primaryStatus = makeStatus(progressAt(1, 10), true);
         const auto deadline = start + 8s;
@@ -102,9 +102,9 @@
             < start);
     }
 
-    // A deposed primary still holds records that were never confirmed, until it follows the new one. A read
-    // from it would show what is about to vanish.
-    TEST_CASE("a fenced slot and a second primary are no replicas")
+    // Guards against a read of records that are lost in a failover: a former primary keeps unconfirmed
+    // records until it follows the new primary.
+    TEST_CASE("a fenced slot and a second primary serve no replica reads")
     {
         RandomSource random { 1 };
         auto tracker = makeTwoSlotTracker();
@@ -116,12 +116,12 @@
         CHECK_FALSE(tracker.provesFreshness(makeRequest(SessionRead {}), fenced, fenced, start));
         CHECK_FALSE(tracker.provesFreshness(makeRequest(SessionRead {}), makeStatus(progressAt(1, 20), true),
             makeStatus(progressAt(1, 20), true), start));
-        // It was made to follow another primary between the two statuses and dropped its tail.
+        // The slot switched to another primary between the two statuses and truncated its log.
         CHECK_FALSE(tracker.provesFreshness(makeRequest(SessionRead {}, progressAt(1, 15)),
             makeStatus(progressAt(1, 20)), makeStatus(progressAt(2, 14)), start));
     }
 
-    // A replica stops answering; its last status still looks good for a while.
+    // Guards against reads at a replica that stopped answering after a status that had qualified it.
     TEST_CASE("a silent, failed or leaving replica gets no reads")
     {
         RandomSource random { 1 };
@@ -142,7 +142,7 @@
             tracker.selectSlot(makeRequest(SessionRead {}), start, random)));
     }
 
-    TEST_CASE("without a primary a read goes to a covering replica and a write is held")
+    TEST_CASE("without a primary a read goes to a replica that has reached its progress and a write waits")
     {
         RandomSource random { 1 };
         auto tracker = makeTwoSlotTracker();
--- a/tests/sessions/session_token_test.cpp
+++ b/tests/sessions/session_token_test.cpp
@@ -37,7 +37,7 @@
 
 TEST_SUITE("session token")
 {
-    TEST_CASE("a token comes back whole from its text")
+    TEST_CASE("decoding an encoded token gives the same token")
     {
         checkProperty("decode(encode) is the same", [](const Observations& observations) {
             const auto token = makeToken(observations);
@@ -45,7 +45,7 @@
         });
     }
 
-    TEST_CASE("merging takes the maximum in any order and never goes back")
+    TEST_CASE("merging takes the maximum in any order and never lowers progress")
     {
         checkProperty("commutative, associative, idempotent, monotonic",
             [](const Observations& a, const Observations& b, const Observations& c) {
@@ -64,9 +64,9 @@
             });
     }
 
-    // A caller sends a token that was cut short, mistyped or made up. Taken as an empty session it would
-    // lose read-your-writes without a sign, so the caller gets an error instead.
-    TEST_CASE("a text that no proxy made is refused")
+    // Guards against a truncated, mistyped or forged token being taken as an empty session, which would
+    // silently lose read-your-writes.
+    TEST_CASE("a text that is not a valid token is rejected")
     {
         CHECK(SessionToken::decode("") == SessionToken {});
         CHECK_THROWS_AS(std::ignore = SessionToken::decode("!!"), SessionError);
@@ -81,9 +81,8 @@
         });
     }
 
-    // A session that goes over very many databases would carry an ever longer token. It is told so before
-    // its statement runs; what the token holds already stays whole.
-    TEST_CASE("a token has room for a bounded number of databases")
+    // Guards against tokens that grow without bound, and against a full token losing its entries.
+    TEST_CASE("a full token rejects a further database and keeps its entries")
     {
         SessionToken token;
         const Progress progress { Term { 1 }, LogPosition { 1 } };
