--- a/include/cyclamendrift/connections/connection_pool.h
+++ b/include/cyclamendrift/connections/connection_pool.h
@@ -11,39 +11,39 @@
 
 namespace cyclamendrift {
 
-/// Number of a connection within its pool, never used twice.
+/// Identifies a connection within its pool; never reused.
 enum class ConnectionId : std::uint64_t {};
 
-/// Start to open a connection under this number; report opened() or openFailed().
+/// Open a connection with this id; report opened() or openFailed().
 struct OpenConnection {
     ConnectionId id {};
 };
-/// Close this connection at once; it is forgotten already.
+/// Close this connection at once; the pool has already removed it.
 struct CloseConnection {
     ConnectionId id {};
 };
-/// Ask this idle connection for the status, with a deadline far beyond the pool's patience; report
+/// Query the status on this idle connection, with a deadline far beyond Options::suspectAfter; report
 /// answered() or lost().
 struct ProbeConnection {
     ConnectionId id {};
 };
-/// What a pool wants done.
+/// An operation that the pool asks its owner to carry out.
 using PoolAction = std::variant<OpenConnection, CloseConnection, ProbeConnection>;
 
 /// Why opening a connection failed.
 enum class OpenFailure : std::uint8_t { Unreachable, CapReached };
 
-/// How a connection came back.
+/// State of a connection at its release.
 enum class ReleaseState : std::uint8_t {
-    /// Open, with no transaction and no answer outstanding.
+    /// Open, without an open transaction or an outstanding answer.
     Clean,
-    /// Anything else; it is closed and never used again.
+    /// Any other state; the connection is closed and not reused.
     Dirty,
 };
 
-/// Keeps the books of the connections of one home to one slot: opens them within a budget, hands each to one
-/// user at a time, closes those that went silent, and backs off from a slot that refuses. Does no I/O: its
-/// owner acts on what update() returns and reports what happened.
+/// Pool of the connections from one home proxy to one slot. Opens connections within a budget, lends each to
+/// one user at a time, closes connections that no longer answer and backs off while the slot refuses new
+/// ones. Does no I/O: the owner carries out the actions from update() and reports their results.
 ///
 ///     for (const auto& action : pool.update(now, waiting))
 ///         act(action);
@@ -52,15 +52,16 @@
 class ConnectionPool {
 public:
     struct Options {
+        /// Most connections, those being opened included.
         std::size_t budget = 1;
-        /// Connections kept open without demand, so that a first request need not wait for a connect.
+        /// Connections kept open without demand, so that a first request does not wait for one to open.
         std::size_t minConnections = 2;
         std::size_t maxOpening = 4;
-        /// An idle connection is probed when its last answer is this old.
+        /// Time since its last answer after which an idle connection is probed.
         Duration probeAfter = std::chrono::seconds { 1 };
-        /// An exchange without an answer for this long makes its connection suspect.
+        /// Time without an answer after which a connection is suspected to be dead.
         Duration suspectAfter = std::chrono::milliseconds { 1500 };
-        /// While all connections are suspect, one is closed this often.
+        /// Interval between closing two connections while all are suspect.
         Duration suspectCloseInterval = std::chrono::milliseconds { 250 };
         Duration openTimeout = std::chrono::seconds { 2 };
         Duration initialBackOff = std::chrono::milliseconds { 50 };
@@ -69,44 +70,45 @@
 
     explicit ConnectionPool(Options options) noexcept;
 
-    /// What to do now, with this many requests waiting; call after each report and at every nextUpdate().
+    /// Returns the actions to carry out, given the number of waiting requests; call after each report and
+    /// periodically.
     [[nodiscard]] std::vector<PoolAction> update(Instant now, std::size_t waiting);
 
-    /// Hands out the idle connection whose last answer is the most recent.
+    /// Borrows the idle connection with the most recent answer; empty if none is idle.
     [[nodiscard]] std::optional<ConnectionId> acquire(Instant now);
 
-    /// True when the connection has answered so recently that it need not be proved before a write.
+    /// True if the connection answered so recently that it needs no check before a write.
     [[nodiscard]] bool hasRecentAnswer(ConnectionId id, Instant now) const;
 
-    /// Reports that the user of a connection has sent something.
+    /// Reports that the user of a connection sent a request on it.
     void sent(ConnectionId id, Instant now);
 
-    /// Reports an answer on a connection in use or under probe; a probed one becomes idle.
+    /// Reports an answer on a connection that is in use or probed; a probed one becomes idle.
     void answered(ConnectionId id, Instant now);
 
-    /// Takes a connection back. A dirty one is closed by the next update().
+    /// Returns a connection to the pool; the next update() closes a dirty one.
     void release(ConnectionId id, ReleaseState state, Instant now);
 
-    /// Reports that a connection is gone.
+    /// Reports that a connection was closed by the peer or has failed.
     void lost(ConnectionId id);
 
-    /// Reports that an OpenConnection succeeded.
+    /// Reports that OpenConnection succeeded.
     void opened(ConnectionId id, Instant now);
 
-    /// Reports that an OpenConnection failed.
+    /// Reports that OpenConnection failed.
     void openFailed(ConnectionId id, OpenFailure failure, Instant now);
 
-    /// Closes all idle connections and opens no more; those in use are closed when they come back.
+    /// Closes all idle connections and opens no more; those in use are closed at their release.
     void retire();
 
-    /// Reports an answer of the slot over a connection outside of the pool.
+    /// Reports an answer of the slot on a connection outside the pool.
     void slotAnswered(Instant now) noexcept;
 
-    /// Connections that count against the slot's cap, those being opened among them.
+    /// Connections that count against the slot's cap, those being opened included.
     [[nodiscard]] std::size_t size() const noexcept { return this->connections.size(); }
     [[nodiscard]] std::size_t idle() const noexcept;
     [[nodiscard]] std::size_t inUse() const noexcept;
-    /// True while the slot refuses connections or cannot be reached.
+    /// True while no connection is opened because the last attempt failed.
     [[nodiscard]] bool isBackingOff(Instant now) const noexcept { return now < this->nextOpenAt; }
 
 private:
@@ -116,7 +118,7 @@
         Phase phase = Phase::Opening;
         Instant phaseSince;
         Instant lastAnswerAt;
-        /// When what has no answer yet was sent; noExchange when nothing is outstanding.
+        /// When the unanswered request was sent; noExchange if there is none.
         Instant sentAt = noExchange;
     };
 
--- a/include/cyclamendrift/connections/fair_queue.h
+++ b/include/cyclamendrift/connections/fair_queue.h
@@ -13,43 +13,45 @@
 #include <variant>
 #include <vector>
 
-/// Scarce connections: who waits for them, how many there are and which of them still work.
+/// Connections to upstreams: the queue for them, their number and the detection of dead and slow ones.
 namespace cyclamendrift {
 
-/// Number of a request in the queue, given by the queue's owner and never used twice.
+/// Identifies a queued request; assigned by the queue's owner and never reused.
 enum class QueueTicket : std::uint64_t {};
 
 /// A request that waits for a connection.
 struct QueuedRequest {
     QueueTicket ticket {};
     TeamName team;
-    /// Share of the connections relative to other teams; 0 stands for 1.
+    /// Share of the connections relative to other teams; 0 counts as 1.
     std::uint32_t weight = 1;
     Priority priority = Priority::Normal;
     Instant deadline;
-    /// Connection time that pop() charged the team with; finished() corrects it.
+    /// Connection time that pop() charged to the team; finished() corrects it.
     Duration chargedTime {};
 };
 
-/// The request waits; it will be popped, evicted or expire.
+/// The request was queued; it will be popped, evicted or expire.
 struct Queued {
-    /// A request of the team with the longest queue that was put out to make room; it has not run.
+    /// A request that was removed to make room and has not run: the newest normal one of the same team, or
+    /// the newest one of the team with the longest queue relative to its weight.
     std::optional<QueuedRequest> evicted;
 };
 
-/// The request would not be served in time, so it was not taken.
+/// The request was not queued, as it would not be served in time or the queue is full.
 struct QueueRefusal {
     RefusalReason reason = RefusalReason::Overloaded;
-    /// When the same request would be taken if nothing else arrived.
+    /// Time after which the same request would be accepted if no other arrived.
     Duration retryAfter {};
 };
 
-/// What became of a request that asked for a place in the queue.
+/// Result of FairQueue::push().
 using Admission = std::variant<Queued, QueueRefusal>;
 
-/// Shares connections between teams in proportion to their weights, by connection time used (start-time fair
-/// queueing), and refuses at once what it cannot serve before its deadline. High priority goes first within a
-/// team, and before other teams' requests while its team is not too far ahead of them.
+/// Queue that shares connections between teams in proportion to their weights, by connection time used
+/// (start-time fair queueing), and refuses requests at once that it cannot serve before their deadline. High
+/// priority goes first within a team, and before other teams' requests while its team's lead in connection
+/// time is within Options::priorityLead.
 ///
 ///     FairQueue queue { { .connections = 9 } };
 ///     auto admission = queue.push({ .ticket = QueueTicket { 1 }, .team = team, .deadline = soon }, now);
@@ -58,45 +60,48 @@
 class FairQueue {
 public:
     struct Options {
-        /// Connections that work off the queue.
+        /// Connections that serve the queue.
         std::size_t connections = 1;
         std::size_t maxQueued = 4096;
         std::size_t maxQueuedPerTeam = 1024;
-        /// Connection time per unit of weight that a team's high priority may be ahead of the other teams.
+        /// Largest lead of a team's high priority over the other teams, in connection time per unit of
+        /// weight.
         Duration priorityLead = std::chrono::milliseconds { 50 };
-        /// Time that one request holds a connection, before any has been measured.
+        /// Initial estimate of the time that one request holds a connection.
         Duration expectedHold = std::chrono::milliseconds { 5 };
     };
 
     explicit FairQueue(Options options);
 
-    /// Asks for a place; a refusal is final and comes at once.
+    /// Queues a request or refuses it; a refusal is final.
     [[nodiscard]] Admission push(QueuedRequest request, Instant now);
 
-    /// The request to serve next, if one waits. Call expire() first: a request past its deadline is not kept
-    /// back here.
+    /// Removes and returns the request to serve next; empty if none waits. Call expire() first, as pop() does
+    /// not check deadlines.
     [[nodiscard]] std::optional<QueuedRequest> pop();
 
-    /// Removes and returns the requests whose deadline has passed; they have not run.
+    /// Removes and returns the requests whose deadline has passed; none of them has run.
     [[nodiscard]] std::vector<QueuedRequest> expire(Instant now);
 
-    /// Removes and returns everything, in the order in which it would have been served.
+    /// Removes and returns all requests: the expired ones, then the others in the order of service.
     [[nodiscard]] std::vector<QueuedRequest> clear(Instant now);
 
-    /// Accounts for the time that a popped request held its connection.
+    /// Charges the team of a popped request with the time that it held its connection, and updates the
+    /// estimated hold times.
     void finished(const QueuedRequest& request, Duration held);
 
-    /// Sets how many connections work off the queue.
+    /// Sets the number of connections that serve the queue.
     void setConnections(std::size_t connections) noexcept;
 
-    /// Says when service is expected to be possible (again); until then requests with an earlier deadline are
-    /// refused with `reason`.
+    /// Sets the time from which requests can be served; requests that are due earlier are refused with
+    /// `reason`.
     void setAvailableFrom(Instant instant, RefusalReason reason) noexcept;
 
-    /// Time until a request of this team and priority would get a connection, by the current rate.
+    /// Estimates the time until a request of this team and priority gets a connection, at the current rate of
+    /// service.
     [[nodiscard]] Duration expectedWait(const QueuedRequest& request, Instant now) const;
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     [[nodiscard]] std::size_t size() const noexcept { return this->queued; }
 
 private:
@@ -104,7 +109,7 @@
         std::deque<QueuedRequest> high;
         std::deque<QueuedRequest> normal;
         double weight = 1;
-        /// Connection time used per unit of weight, on the scale of all teams.
+        /// Connection time used per unit of weight, in seconds; comparable between teams.
         double virtualTime = 0;
         double expectedHold = 0;
 
@@ -125,7 +130,8 @@
     Teams teams;
     std::size_t queued = 0;
     double expectedHold;
-    /// Virtual time of the team served last; a team that was idle starts from here and not from its past.
+    /// Virtual time of the least served team at the last pop(); never decreases. A team that was idle
+    /// starts no earlier than here, so that it gains no credit.
     double virtualNow = 0;
     Instant availableFrom {};
     RefusalReason unavailableReason = RefusalReason::Overloaded;
--- a/include/cyclamendrift/connections/outlier_detector.h
+++ b/include/cyclamendrift/connections/outlier_detector.h
@@ -7,7 +7,7 @@
 
 namespace cyclamendrift {
 
-/// Notices a slot that answers reads much more slowly than the others, so that reads go round it.
+/// Detects slots that answer reads much more slowly than the fastest one, so that reads can avoid them.
 ///
 ///     detector.answered(slot, elapsed, now);
 ///     if (!detector.isOutlier(slot, now))
@@ -15,19 +15,19 @@
 class OutlierDetector {
 public:
     struct Options {
-        /// Slower than the fastest slot by this factor, and by minDifference, is an outlier.
+        /// An outlier's mean latency exceeds that of the fastest slot by this factor and by minDifference.
         double factor = 4;
         Duration minDifference = std::chrono::milliseconds { 20 };
-        /// A slot is tried again after this long, as nothing is measured while it gets no reads.
+        /// Time after which an outlier gets reads again, as its latency is not sampled without reads.
         Duration retryAfter = std::chrono::seconds { 2 };
     };
 
     explicit OutlierDetector(Options options) noexcept;
 
-    /// Counts one answer; a failure counts with the time that it took.
+    /// Records the latency of an answer or a failure.
     void answered(const SlotName& slot, Duration elapsed, Instant now);
 
-    /// True while reads should go elsewhere.
+    /// True while reads should go to other slots.
     [[nodiscard]] bool isOutlier(const SlotName& slot, Instant now) const;
 
 private:
--- a/include/cyclamendrift/connections/retry_budget.h
+++ b/include/cyclamendrift/connections/retry_budget.h
@@ -8,8 +8,8 @@
 
 namespace cyclamendrift {
 
-/// Bounds retries to a share of the requests that came, so that retries cannot multiply the load on an
-/// upstream which is failing because of load.
+/// Token bucket that limits retries to a share of the requests, so that retries cannot multiply the load on
+/// an upstream that fails because of overload.
 ///
 ///     budget.requested();
 ///     if (auto delay = budget.retry(attempt, random))
@@ -17,9 +17,9 @@
 class RetryBudget {
 public:
     struct Options {
-        /// Retries that each request pays for.
+        /// Tokens that each request adds; a retry uses one token.
         double retriesPerRequest = 0.1;
-        /// Retries that may be saved up.
+        /// Capacity of the bucket, in tokens.
         double maxTokens = 10;
         std::size_t maxRetriesPerRequest = 2;
         Duration initialDelay = std::chrono::milliseconds { 10 };
@@ -28,14 +28,14 @@
 
     explicit RetryBudget(Options options) noexcept;
 
-    /// Counts a request that came, not a retry of one.
+    /// Counts a new request; not to be called for retries.
     void requested() noexcept;
 
-    /// Takes one retry and returns the delay before it, with full jitter; empty when there is none to take.
-    /// `attempt` counts the retries that this request has had.
+    /// Uses one token and returns the delay before the retry, with full jitter; empty if no retry is allowed.
+    /// `attempt` is the number of retries that the request has had.
     [[nodiscard]] std::optional<Duration> retry(std::size_t attempt, RandomSource& random);
 
-    /// True when there is a retry to take.
+    /// True if there is a token for a retry.
     [[nodiscard]] bool available() const noexcept { return this->tokens >= 1; }
 
 private:
--- a/src/connections/concurrency_limit.cpp
+++ b/src/connections/concurrency_limit.cpp
@@ -8,20 +8,20 @@
 
 constexpr double minLimit = 1;
 constexpr double maxLimit = 8;
-// The recent mean follows some ten answers.
+// The mean covers about the last ten answers.
 constexpr double recentSmoothing = 0.1;
-// The unloaded time is a low quantile, about the tenth part: it falls fast and rises slowly, and ten times as
-// slowly while answers are slow, so that minutes of load are not taken for the usual.
+// The unloaded latency estimates a low quantile, about the 10th percentile: it falls fast and rises slowly,
+// and rises ten times as slowly under load, so that minutes of load do not become the baseline.
 constexpr double unloadedFallSmoothing = 0.1;
 constexpr double unloadedRiseSmoothing = 0.002;
 constexpr double unloadedRiseSmoothingUnderLoad = 0.0002;
-// Times of statements differ by a factor of three between the quantile and the mean with no load at all; at
-// five the mean statement waits about as long as it works.
+// Without load the mean latency is about three times the quantile; at five times a statement waits about as
+// long as it runs.
 constexpr double maxSlowdown = 5;
 constexpr double decreaseFactor = 0.96;
 constexpr double additiveIncrease = 0.1;
 constexpr double refusalDecreaseFactor = 0.7;
-// Refusals that come together tell of one overload.
+// Refusals within this interval count as one overload.
 constexpr Duration minRefusalDecreaseInterval = std::chrono::milliseconds { 50 };
 
 } // namespace
--- a/src/connections/connection_pool.cpp
+++ b/src/connections/connection_pool.cpp
@@ -32,10 +32,10 @@
 
 void ConnectionPool::closeDeadProbes(Instant now, std::vector<PoolAction>& actions)
 {
-    // Something between the two ends may have lost track of a connection: it stays open and never answers. A
-    // probe has next to no work, so one that is not answered while the slot answers elsewhere is that, and
-    // not a slow answer. When nothing is answered, the slot is slow or gone, and closing would only add
-    // connects to its troubles.
+    // A network device on the path may drop the state of a connection, which then stays open but never
+    // answers. A probe is cheap to answer, so if one is unanswered while the slot answers on other
+    // connections, the connection is dead and not slow. If the slot answers on none, it is slow or down, and
+    // closing connections would only add the load of opening new ones.
     for (auto entry = this->connections.begin(); entry != this->connections.end();) {
         const bool isDead = entry->second.phase == Phase::Probing && this->isSuspect(entry->second, now)
             && this->lastSlotAnswerAt > entry->second.sentAt;
@@ -50,10 +50,10 @@
 
 void ConnectionPool::closeOldestSuspect(Instant now, std::vector<PoolAction>& actions)
 {
-    // A statement may take long for good reasons, and an unanswered one cannot be told from a silent
-    // connection. So suspects keep their connections until their deadline as long as any other is left. Only
-    // when all of the budget is suspect and the slot answers elsewhere is the oldest given up, one at a time:
-    // otherwise a wave of silent connections would stop everything until the last deadline.
+    // A long-running statement cannot be distinguished from a dead connection, so suspect connections stay
+    // open until their deadline while any other connection is left. If the whole budget is suspect and the
+    // slot answers on other connections, the oldest suspect is closed, one at a time: otherwise many dead
+    // connections at once would block the database until their deadlines.
     const bool isBudgetUsed = this->connections.size() >= this->options.budget;
     if (!isBudgetUsed || now - this->lastSuspectClose < this->options.suspectCloseInterval)
         return;
@@ -98,8 +98,8 @@
         opening += entry.phase == Phase::Opening ? 1 : 0;
         usable += entry.phase == Phase::Opening || entry.phase == Phase::Idle ? 1 : 0;
     }
-    // After a failure a single attempt shows whether the slot takes connections again; a full set of them
-    // would be a stampede on one that is just coming back.
+    // After a failure a single attempt shows whether the slot accepts connections again; several at once
+    // could overload a slot that is just recovering.
     const auto maxOpening = this->consecutiveOpenFailures > 0 ? std::size_t { 1 } : this->options.maxOpening;
     while (this->connections.size() < this->options.budget && opening < maxOpening) {
         const bool isNeeded = usable < waiting || this->connections.size() < this->options.minConnections;
@@ -161,7 +161,7 @@
     const auto entry = this->connections.find(id);
     if (entry == this->connections.end() || entry->second.phase != Phase::InUse)
         return;
-    // A transaction left open, or an answer still to come, would reach the next user of the connection.
+    // The next user of the connection would run in an open transaction or read an outstanding answer.
     if (state != ReleaseState::Clean || entry->second.sentAt != noExchange || this->retired) {
         this->toClose.push_back(id);
         this->connections.erase(entry);
@@ -189,8 +189,8 @@
 void ConnectionPool::openFailed(ConnectionId id, OpenFailure failure, Instant now)
 {
     this->connections.erase(id);
-    // A home that disagrees about who the homes are may hold the connections; it will find out, so this one
-    // comes back soon and not at once.
+    // The refusal is an answer of the slot. Another home proxy with an outdated assignment may hold the
+    // connections until it learns the current one, so the next attempt is delayed but not given up.
     if (failure == OpenFailure::CapReached)
         this->slotAnswered(now);
     constexpr std::size_t maxDoublings = 10;
--- a/src/connections/fair_queue.cpp
+++ b/src/connections/fair_queue.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Share of a new measurement in the mean of hold times: about the last twenty requests count.
+/// Weight of a new sample in the mean hold time, which covers about the last twenty requests.
 constexpr double holdTimeSmoothing = 0.05;
-/// Teams that are remembered while idle, so that one cannot shed its past use by pausing for a moment.
+/// Number of teams up to which idle ones are kept, so that a short pause does not erase a team's past use.
 constexpr std::size_t maxTeamsBeforeCleanup = 64;
 
 double seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
@@ -69,8 +69,8 @@
         const auto ahead = request.priority == Priority::High ? team.high.size() : team.size();
         ownAhead = static_cast<double>(ahead) * team.expectedHold;
     }
-    // The team's own queue drains at its share of the connections at least; the whole queue is the other
-    // bound, as nothing else can be served before the request.
+    // Two upper bounds: the team's own queue drains at least at its share of the connections, and no more
+    // than the whole queue can be served before the request.
     return std::min(total, ownAhead * activeWeight / ownWeight);
 }
 
@@ -125,8 +125,8 @@
 
 std::optional<QueuedRequest> FairQueue::evictFromLongestQueue(const QueuedRequest& request)
 {
-    // A full queue would otherwise refuse whoever comes next, so that one team's flood would take the places
-    // of all others: the request to go is the newest of the team that holds most places for its weight.
+    // Evicts the newest request of the team with the most requests relative to its weight. Refusing every new
+    // request would let one team's flood keep all places of a full queue.
     const auto load = [](const Teams::value_type& entry) {
         return static_cast<double>(entry.second.size()) / entry.second.weight;
     };
@@ -148,8 +148,8 @@
 
 FairQueue::Teams::iterator FairQueue::selectHighPriority(const Team& leastServed)
 {
-    // Unbounded, a team that marks everything as high would starve the lookups of all others; the lead is
-    // measured in connection time, so it is used up by serving.
+    // Without a limit a team that marks all its requests as high priority would starve the others. The lead
+    // is measured in connection time, so serving the team uses it up.
     const double limit = leastServed.virtualTime + seconds(this->options.priorityLead);
     auto selected = this->teams.end();
     for (auto entry = this->teams.begin(); entry != this->teams.end(); ++entry) {
@@ -184,8 +184,8 @@
     auto request = std::move(requests.front());
     requests.pop_front();
     --this->queued;
-    // Charged by expectation now and corrected in finished(): otherwise all free connections would go to the
-    // same team before any of them has come back.
+    // Charges the expected hold time now and corrects it in finished(); otherwise one team could get all free
+    // connections before any of them is released.
     team.virtualTime += team.expectedHold / team.weight;
     request.chargedTime = duration(team.expectedHold);
     return request;
--- a/src/connections/outlier_detector.cpp
+++ b/src/connections/outlier_detector.cpp
@@ -22,8 +22,8 @@
     const double actual = seconds(elapsed);
     const auto [entry, isNew] = this->latencies.try_emplace(slot, Latency { actual, now });
     auto& latency = entry->second;
-    // After a break only the new measurement counts: a slot that has recovered would otherwise be judged by
-    // what it was like before.
+    // After a pause the mean restarts from the new sample, so that old latencies do not keep a recovered slot
+    // excluded.
     const bool stale = isNew || now - latency.measuredAt >= this->options.retryAfter;
     latency.mean = stale ? actual : latency.mean + latencySmoothing * (actual - latency.mean);
     latency.measuredAt = now;
--- a/src/connections/retry_budget.cpp
+++ b/src/connections/retry_budget.cpp
@@ -24,7 +24,7 @@
     constexpr std::size_t maxDoublings = 20;
     const Duration doubled = this->options.initialDelay * (1LL << std::min(attempt, maxDoublings));
     const auto limit = std::min(doubled, this->options.maxDelay);
-    // Full jitter: requests that failed together would otherwise come back together.
+    // Full jitter, so that requests that failed together are not retried together.
     std::uniform_int_distribution<Duration::rep> delay { 0, limit.count() };
     return Duration { delay(random) };
 }
--- a/tests/connections/concurrency_limit_test.cpp
+++ b/tests/connections/concurrency_limit_test.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Nine VMs before a primary with two slots that takes 14 ms for a statement; each sends as much as its limit
-/// allows. Returns the time that a statement waited and worked, over the last part of the run.
+/// Simulates nine VMs at a primary that runs two statements at a time of 14 ms each; every VM sends as many
+/// as its limit allows. Returns the mean time from sending to answer over the second half of the run.
 Duration meanLatencyAtOverloadedPrimary(bool limited)
 {
     constexpr std::size_t vms = 9;
@@ -20,7 +20,7 @@
     std::vector<ConcurrencyLimit> limits(vms);
     std::mt19937_64 random { 1 };
     std::exponential_distribution<double> work { 1 / 14.0 };
-    // Quiet at first, so that the unloaded time is known.
+    // Starts without load to establish the unloaded latency.
     for (auto& limit : limits) {
         for (int count = 0; count < 50; ++count)
             limit.onAnswer(std::chrono::microseconds { static_cast<int>(work(random) * 1000) + 1000 });
@@ -48,18 +48,17 @@
 
 } // namespace
 
-TEST_SUITE("statements at a time")
+TEST_SUITE("concurrency limit")
 {
-    TEST_CASE("when all reads go to a primary its queue stays short, and what waits is left to the VMs")
+    TEST_CASE("when all reads go to the primary the limit bounds the latency there")
     {
-        // Both replicas of a group fall behind, so nine VMs send all they have to the primary. Without a
-        // limit an order waits behind two dozen reads in the primary's own queue, where nothing can let it
-        // pass.
+        // Guards against high-priority statements waiting behind two dozen reads in the primary's own queue,
+        // which has no priorities, when both replicas lag and nine VMs read from the primary.
         CHECK(meanLatencyAtOverloadedPrimary(false) > 100ms);
         CHECK(meanLatencyAtOverloadedPrimary(true) < 60ms);
     }
 
-    TEST_CASE("an upstream without load keeps getting several statements at a time")
+    TEST_CASE("the limit stays above one for an upstream without load")
     {
         ConcurrencyLimit limit;
         std::mt19937_64 random { 2 };
@@ -70,7 +69,7 @@
         }
     }
 
-    TEST_CASE("a full upstream lowers the limit once for refusals that come together, and never below one")
+    TEST_CASE("simultaneous refusals lower the limit once, and no refusal lowers it below one")
     {
         ConcurrencyLimit limit;
         const Instant now { 10s };
--- a/tests/connections/connection_pool_test.cpp
+++ b/tests/connections/connection_pool_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Acts on what a pool asks for: opens take one step, probes are answered unless the connection is silent.
+/// Carries out a pool's actions: opens complete at once, probes are answered unless the connection is silent.
 class FakeSlot {
 public:
     explicit FakeSlot(ConnectionPool::Options options)
@@ -58,7 +58,7 @@
 
 TEST_SUITE("connection pool")
 {
-    TEST_CASE("two homes stay within the cap of a slot")
+    TEST_CASE("two home proxies together stay within the cap of a slot")
     {
         CHECK(connectionBudget(20).traffic == 9);
         CHECK(connectionBudget(35).traffic == 16);
@@ -66,10 +66,10 @@
             CHECK(homesPerDatabase * connectionBudget(cap).total() <= cap);
     }
 
-    TEST_CASE("a connection that did not end clean is never used again")
+    TEST_CASE("a connection released with a transaction or an answer outstanding is not reused")
     {
-        // A caller goes away in the middle of a transaction, or an answer is still under way. The next user
-        // of the connection would run inside that transaction, or read that answer as its own.
+        // Guards against the next user of a connection running in an open transaction or reading an answer to
+        // the previous user.
         checkProperty("dirty connections are closed", [] {
             FakeSlot slot { { .budget = 4, .minConnections = 1 } };
             Instant now {};
@@ -104,10 +104,11 @@
         });
     }
 
-    TEST_CASE("idle connections that went silent are closed within seconds while new ones work")
+    TEST_CASE(
+        "idle connections that stop answering are closed within seconds while the slot answers on others")
     {
-        // A box on the way has forgotten the connections: they look open and never answer, but new ones work.
-        // Requests sent on them would hang until their deadline.
+        // Guards against requests that hang until their deadline on connections whose state was dropped by a
+        // network device: they look open and never answer, while new connections work.
         FakeSlot slot { { .budget = 4, .minConnections = 2 } };
         Instant now {};
         slot.update(now, 4);
@@ -124,10 +125,10 @@
         CHECK(slot.pool.acquire(now).has_value());
     }
 
-    TEST_CASE("a slow slot loses no connection")
+    TEST_CASE("connections to a slot that answers on none of them stay open")
     {
-        // Every answer takes long because the slot is overloaded. Closing the connections would add connects
-        // to its load and give up work that is about to finish.
+        // Guards against closing the connections to an overloaded slot, which would add the load of opening
+        // new ones and abandon statements that are about to finish.
         FakeSlot slot { { .budget = 3, .minConnections = 3 } };
         Instant now {};
         slot.update(now, 3);
@@ -142,10 +143,10 @@
         CHECK(slot.pool.size() == 3);
     }
 
-    TEST_CASE("a long statement keeps its connection while others are left")
+    TEST_CASE("a long statement keeps its connection while other connections answer")
     {
-        // A report takes minutes on one connection while the slot answers everything else at once. Taking it
-        // for a dead peer would mean that it can never finish.
+        // Guards against a report that takes minutes being taken for a dead connection, so that it could
+        // never finish.
         FakeSlot slot { { .budget = 3, .minConnections = 1 } };
         Instant now {};
         slot.update(now, 1);
@@ -160,10 +161,10 @@
         CHECK_FALSE(slot.closed.contains(report));
     }
 
-    TEST_CASE("when every connection is silent they are given up one by one")
+    TEST_CASE("when no connection answers but the slot does, they are closed one by one")
     {
-        // All connections carry a statement when the path forgets them. Waiting for each deadline would stop
-        // the database for as long, although new connections work.
+        // Guards against a database blocked until the statements' deadlines when the network drops the state
+        // of all connections in use, although new connections work.
         FakeSlot slot { { .budget = 3, .minConnections = 3 } };
         Instant now {};
         slot.update(now, 3);
@@ -183,10 +184,10 @@
         CHECK(slot.pool.idle() == 1);
     }
 
-    TEST_CASE("a home whose connections another one holds backs off")
+    TEST_CASE("the pool backs off while the slot refuses connections at its cap")
     {
-        // Two proxies disagree about who serves the database, and the other holds the connections. Trying
-        // again at once would hammer the slot with connects that it has to refuse.
+        // Guards against a flood of connection attempts when two proxies disagree about which serves the
+        // database and the other one holds all connections.
         ConnectionPool pool { { .budget = 9, .minConnections = 2 } };
         Instant now {};
         int attempts = 0;
@@ -201,7 +202,7 @@
         CHECK(pool.size() == 0);
     }
 
-    TEST_CASE("the most recently proven connection goes first")
+    TEST_CASE("the connection with the most recent answer is borrowed first")
     {
         FakeSlot slot { { .budget = 2, .minConnections = 2 } };
         Instant now {};
@@ -215,7 +216,7 @@
         CHECK_FALSE(slot.pool.hasRecentAnswer(id, now + 600ms));
     }
 
-    TEST_CASE("a retired pool hands back everything")
+    TEST_CASE("a retired pool closes idle connections at once and borrowed ones at their release")
     {
         FakeSlot slot { { .budget = 3, .minConnections = 3 } };
         Instant now {};
@@ -232,12 +233,11 @@
     }
 }
 
-TEST_SUITE("retries")
+TEST_SUITE("retry budget")
 {
-    TEST_CASE("retries stay a small share of the requests in a brown-out")
+    TEST_CASE("retries stay a small share of the requests while every request fails")
     {
-        // The upstream fails every request because it is overloaded. If each were retried, the load would
-        // multiply just then, and it would never recover.
+        // Guards against retries that multiply the load on an overloaded upstream, so that it never recovers.
         RetryBudget budget { {} };
         RandomSource random { 1 };
         constexpr int requests = 10000;
@@ -250,7 +250,7 @@
         CHECK(retries <= requests / 10 + 10);
     }
 
-    TEST_CASE("delays are spread and bounded")
+    TEST_CASE("retry delays vary and stay within the maximum")
     {
         RetryBudget budget { { .maxTokens = 1000, .maxRetriesPerRequest = 8, .maxDelay = 100ms } };
         RandomSource random { 1 };
@@ -265,12 +265,11 @@
     }
 }
 
-TEST_SUITE("outliers")
+TEST_SUITE("outlier detector")
 {
-    TEST_CASE("reads go round a slow slot and come back to it")
+    TEST_CASE("a slow slot is an outlier until its retry time or until it recovers")
     {
-        // One replica answers, but a hundred times slower than the others. Its share of the reads would wait
-        // that long although another replica could answer at once.
+        // Guards against reads waiting for a replica that is a hundred times slower than another one.
         OutlierDetector detector { {} };
         const SlotName slow { "slow" };
         const SlotName fast { "fast" };
--- a/tests/connections/fair_queue_test.cpp
+++ b/tests/connections/fair_queue_test.cpp
@@ -14,7 +14,7 @@
 const TeamName small { "small" };
 const TeamName large { "large" };
 
-/// RequestFactory with tickets of their own.
+/// Creates requests with unique tickets.
 class RequestFactory {
 public:
     QueuedRequest next(TeamName team, Instant deadline, Priority priority = Priority::Normal)
@@ -31,7 +31,7 @@
 
 bool isQueued(const Admission& admission) { return std::holds_alternative<Queued>(admission); }
 
-/// Share of served requests that team `small` gets while both teams always wait.
+/// Returns the share of served requests that team `small` gets while both teams always have waiting requests.
 double servedShareOfSmall(std::uint32_t weight, int perRound, int rounds)
 {
     FairQueue queue { { .connections = 4, .expectedHold = 1ms } };
@@ -55,10 +55,10 @@
 
 TEST_SUITE("fair queue")
 {
-    TEST_CASE("a flooding team does not push another under its share")
+    TEST_CASE("a flooding team does not reduce another team below its share")
     {
-        // One team sends several times its rate, so that its requests fill the queue. A user of another team
-        // would see its own requests wait behind all of them.
+        // Guards against one team filling the queue at several times its rate, so that the requests of
+        // another team wait behind all of its own.
         CHECK(servedShareOfSmall(1, 5, 400) == doctest::Approx(0.5).epsilon(0.02));
         CHECK(servedShareOfSmall(3, 8, 100) == doctest::Approx(0.75).epsilon(0.05));
     }
@@ -84,7 +84,7 @@
                 totalWeight += weight;
             Duration total {};
             for (int round = 0; round < rounds; ++round) {
-                // Each team always has something waiting; how much more is of no account.
+                // Every team always has a waiting request; the length of its queue does not matter.
                 for (const auto& [team, weight] : weights) {
                     auto request = requests.next(team, start + 10h);
                     request.weight = weight;
@@ -103,7 +103,7 @@
         });
     }
 
-    TEST_CASE("a request waits no longer than its turn")
+    TEST_CASE("a request waits for at most one request of each other team")
     {
         checkProperty("bound on the requests served before it", []() {
             const int others = *rc::gen::inRange(1, 8);
@@ -127,7 +127,7 @@
         });
     }
 
-    TEST_CASE("orders go before lookups within a team")
+    TEST_CASE("high priority goes before normal priority within a team")
     {
         FairQueue queue { { .connections = 1 } };
         RequestFactory requests;
@@ -138,10 +138,10 @@
         CHECK(queue.pop()->priority == Priority::Normal);
     }
 
-    TEST_CASE("orders of one team do not starve the lookups of another")
+    TEST_CASE("high priority of one team does not starve normal priority of another")
     {
-        // A team marks everything it sends as high priority. Without a bound on the lead that this gives, the
-        // lookups of the other team would never be served.
+        // Guards against a team that marks all its requests as high priority: without a limit on its lead,
+        // the other team's requests would never be served.
         FairQueue queue { { .connections = 1, .priorityLead = 20ms, .expectedHold = 2ms } };
         RequestFactory requests;
         const Instant start {};
@@ -158,10 +158,10 @@
         CHECK(lookups > served * 45 / 100);
     }
 
-    TEST_CASE("what cannot be served before its deadline is refused at once")
+    TEST_CASE("a request that cannot be served before its deadline is refused at once")
     {
-        // The upstream has become slow, and the queue is longer than a request can wait. If it were taken,
-        // its caller would hear only at the deadline that it was in vain.
+        // Guards against a caller that learns only at its deadline that its request could not be served in
+        // time, because the upstream has become slow and the queue is too long.
         FairQueue queue { { .connections = 2, .expectedHold = 10ms } };
         RequestFactory requests;
         const Instant start {};
@@ -176,7 +176,7 @@
         CHECK(isQueued(queue.push(requests.next(small, start + 50ms), start)));
     }
 
-    TEST_CASE("what is taken while service is constant is served in time")
+    TEST_CASE("queued requests are served in time at a constant service rate")
     {
         checkProperty("no admitted request is late while nothing more important comes", [] {
             FairQueue queue { { .connections = 1, .expectedHold = 2ms } };
@@ -195,7 +195,7 @@
         });
     }
 
-    TEST_CASE("during an outage what can wait is held and the rest refused")
+    TEST_CASE("during an outage requests that can wait are queued and others refused")
     {
         FairQueue queue { { .connections = 1 } };
         RequestFactory requests;
@@ -208,10 +208,10 @@
         CHECK(std::get<QueueRefusal>(refused).retryAfter >= 2s);
     }
 
-    TEST_CASE("a full queue makes room for the team that holds less than its share")
+    TEST_CASE("a full queue evicts a request to make room for a team below its share")
     {
-        // One team has filled every place. Without pushing out, the next to come would be refused whoever it
-        // is, and the flooding team would keep all places as long as it sends faster.
+        // Guards against a flooding team keeping all places of a full queue: without eviction, the next
+        // request would be refused whichever team sends it.
         FairQueue queue { { .connections = 100, .maxQueued = 10, .maxQueuedPerTeam = 10 } };
         RequestFactory requests;
         const Instant start {};
