--- a/tests/connections/connection_pool_test.cpp
+++ b/tests/connections/connection_pool_test.cpp
@@ -70,7 +70,7 @@
     {
         // Guards against the next user of a connection running in an open transaction or reading an answer to
         // the previous user.
-        checkProperty("dirty connections are closed", [] {
+        checkProperty("dirty connections are closed and not borrowed again", [] {
             FakeSlot slot { { .budget = 4, .minConnections = 1 } };
             Instant now {};
             std::set<ConnectionId> dirty;
--- a/tests/connections/fair_queue_test.cpp
+++ b/tests/connections/fair_queue_test.cpp
@@ -65,7 +65,7 @@
 
     TEST_CASE("every team gets its share of connection time whatever the others send")
     {
-        checkProperty("share of connection time", []() {
+        checkProperty("share of connection time by weight", []() {
             constexpr int teamCount = 4;
             constexpr int rounds = 600;
             FairQueue queue { { .connections = 1, .expectedHold = 2ms } };
@@ -105,7 +105,7 @@
 
     TEST_CASE("a request waits for at most one request of each other team")
     {
-        checkProperty("bound on the requests served before it", []() {
+        checkProperty("number of requests served before it", []() {
             const int others = *rc::gen::inRange(1, 8);
             const int backlog = *rc::gen::inRange(1, 60);
             FairQueue queue { { .connections = 1, .expectedHold = 1ms } };
@@ -178,7 +178,7 @@
 
     TEST_CASE("queued requests are served in time at a constant service rate")
     {
-        checkProperty("no admitted request is late while nothing more important comes", [] {
+        checkProperty("no queued request is late without requests of higher priority", [] {
             FairQueue queue { { .connections = 1, .expectedHold = 2ms } };
             RequestFactory requests;
             Instant now {};
@@ -227,7 +227,7 @@
 
     TEST_CASE("every request leaves the queue exactly once")
     {
-        checkProperty("popped, evicted, expired or still there", [] {
+        checkProperty("a request is popped, evicted, expired or still queued", [] {
             FairQueue queue { { .connections = 2, .maxQueued = 8, .maxQueuedPerTeam = 6 } };
             RequestFactory requests;
             Instant now {};
--- a/tests/sessions/session_token_test.cpp
+++ b/tests/sessions/session_token_test.cpp
@@ -39,7 +39,7 @@
 {
     TEST_CASE("decoding an encoded token gives the same token")
     {
-        checkProperty("decode(encode) is the same", [](const Observations& observations) {
+        checkProperty("decode(encode(token)) equals token", [](const Observations& observations) {
             const auto token = makeToken(observations);
             RC_ASSERT(SessionToken::decode(token.encode()) == token);
         });
@@ -72,7 +72,7 @@
         CHECK_THROWS_AS(std::ignore = SessionToken::decode("!!"), SessionError);
         CHECK_THROWS_AS(std::ignore = SessionToken::decode("AAAA"), SessionError);
         CHECK_THROWS_AS(std::ignore = SessionToken::decode(std::string(20000, 'A')), SessionError);
-        checkProperty("garbage throws SessionError or decodes", [](const std::string& text) {
+        checkProperty("an arbitrary text throws SessionError or decodes", [](const std::string& text) {
             try {
                 const auto token = SessionToken::decode(text);
                 RC_ASSERT(SessionToken::decode(token.encode()) == token);
