--- a/src/pooling/engine_connections.cpp
+++ b/src/pooling/engine_connections.cpp
@@ -400,7 +400,7 @@
     auto& upstream = this->upstreamOf(connection);
     if (error == StatementError::Busy) {
         upstream.busyUntil = this->now + this->options.settings.busyBackoff;
-        upstream.limit.onFull(this->now);
+        upstream.limit.onCapacityRefusal(this->now);
     }
     if (error == StatementError::Lagging) {
         upstream.laggingUntil = this->now
--- a/tests/connections/concurrency_limit_test.cpp
+++ b/tests/connections/concurrency_limit_test.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-/// Nine VMs before a primary with two slots that takes 14 ms for a statement; each sends as much as its limit
-/// allows. Returns the time that a statement waited and worked, over the last part of the run.
-Duration meanTimeAtFullPrimary(bool limited)
+/// Simulates nine VMs at a primary that runs two statements at a time of 14 ms each; every VM sends as many
+/// as its limit allows. Returns the mean time from sending to answer over the second half of the run.
+Duration meanLatencyAtOverloadedPrimary(bool limited)
 {
     constexpr std::size_t vms = 9;
-    constexpr std::size_t unlimited = 4;
+    constexpr std::size_t unlimitedStatements = 4;
     std::vector<ConcurrencyLimit> limits(vms);
     std::mt19937_64 random { 1 };
     std::exponential_distribution<double> work { 1 / 14.0 };
-    // Quiet at first, so that the unloaded time is known.
+    // Starts without load to establish the unloaded latency.
     for (auto& limit : limits) {
         for (int count = 0; count < 50; ++count)
             limit.onAnswer(std::chrono::microseconds { static_cast<int>(work(random) * 1000) + 1000 });
@@ -28,11 +28,13 @@
     double total = 0;
     int counted = 0;
     for (int round = 0; round < 400; ++round) {
-        std::size_t there = 0;
+        std::size_t concurrentStatements = 0;
         for (const auto& limit : limits)
-            there += limited ? std::min(limit.current(), unlimited) : unlimited;
+            concurrentStatements
+                += limited ? std::min(limit.current(), unlimitedStatements) : unlimitedStatements;
         for (auto& limit : limits) {
-            const auto ahead = std::uniform_int_distribution<std::size_t> { 0, there - 1 }(random);
+            const auto ahead
+                = std::uniform_int_distribution<std::size_t> { 0, concurrentStatements - 1 }(random);
             const auto time = work(random) + static_cast<double>(ahead) * 14.0 / 2;
             limit.onAnswer(std::chrono::microseconds { static_cast<int>(time * 1000) });
             if (round >= 200) {
@@ -46,18 +48,17 @@
 
 } // namespace
 
-TEST_SUITE("statements at a time")
+TEST_SUITE("concurrency limit")
 {
-    TEST_CASE("when all reads go to a primary its queue stays short, and what waits is left to the VMs")
+    TEST_CASE("when all reads go to the primary the limit bounds the latency there")
     {
-        // Both replicas of a group fall behind, so nine VMs send all they have to the primary. Without a
-        // limit an order waits behind two dozen reads in the primary's own queue, where nothing can let it
-        // pass.
-        CHECK(meanTimeAtFullPrimary(false) > 100ms);
-        CHECK(meanTimeAtFullPrimary(true) < 60ms);
+        // Guards against high-priority statements waiting behind two dozen reads in the primary's own queue,
+        // which has no priorities, when both replicas lag and nine VMs read from the primary.
+        CHECK(meanLatencyAtOverloadedPrimary(false) > 100ms);
+        CHECK(meanLatencyAtOverloadedPrimary(true) < 60ms);
     }
 
-    TEST_CASE("an upstream without load keeps getting several statements at a time")
+    TEST_CASE("the limit stays above one for an upstream without load")
     {
         ConcurrencyLimit limit;
         std::mt19937_64 random { 2 };
@@ -68,16 +69,16 @@
         }
     }
 
-    TEST_CASE("a full upstream lowers the limit once for refusals that come together, and never below one")
+    TEST_CASE("simultaneous refusals lower the limit once, and no refusal lowers it below one")
     {
         ConcurrencyLimit limit;
         const Instant now { 10s };
         const auto before = limit.current();
         for (int count = 0; count < 20; ++count)
-            limit.onFull(now);
+            limit.onCapacityRefusal(now);
         CHECK(limit.current() >= before / 2);
         for (int count = 0; count < 20; ++count)
-            limit.onFull(now + count * 100ms);
+            limit.onCapacityRefusal(now + count * 100ms);
         CHECK(limit.current() == 1);
         for (int count = 0; count < 200; ++count)
             limit.onAnswer(10ms);
--- a/tests/connections/fair_queue_test.cpp
+++ b/tests/connections/fair_queue_test.cpp
@@ -14,8 +14,8 @@
 const TeamName small { "small" };
 const TeamName large { "large" };
 
-/// Requests with tickets of their own.
-class Requests {
+/// Creates requests with unique tickets.
+class RequestFactory {
 public:
     QueuedRequest next(TeamName team, Instant deadline, Priority priority = Priority::Normal)
     {
@@ -29,13 +29,13 @@
     std::uint64_t lastTicket = 0;
 };
 
-bool isTaken(const Admission& admission) { return std::holds_alternative<Queued>(admission); }
+bool isQueued(const Admission& admission) { return std::holds_alternative<Queued>(admission); }
 
-/// Share of served requests that team `small` gets while both teams always wait.
+/// Returns the share of served requests that team `small` gets while both teams always have waiting requests.
 double servedShareOfSmall(std::uint32_t weight, int perRound, int rounds)
 {
     FairQueue queue { { .connections = 4, .expectedHold = 1ms } };
-    Requests requests;
+    RequestFactory requests;
     const Instant start {};
     int servedOfSmall = 0;
     for (int round = 0; round < rounds; ++round) {
@@ -55,21 +55,21 @@
 
 TEST_SUITE("fair queue")
 {
-    TEST_CASE("a flooding team does not push another under its share")
+    TEST_CASE("a flooding team does not reduce another team below its share")
     {
-        // One team sends several times its rate, so that its requests fill the queue. A user of another team
-        // would see its own requests wait behind all of them.
+        // Guards against one team filling the queue at several times its rate, so that the requests of
+        // another team wait behind all of its own.
         CHECK(servedShareOfSmall(1, 5, 400) == doctest::Approx(0.5).epsilon(0.02));
         CHECK(servedShareOfSmall(3, 8, 100) == doctest::Approx(0.75).epsilon(0.05));
     }
 
     TEST_CASE("every team gets its share of connection time whatever the others send")
     {
-        checkProperty("share of connection time", []() {
+        checkProperty("share of connection time by weight", []() {
             constexpr int teamCount = 4;
             constexpr int rounds = 600;
             FairQueue queue { { .connections = 1, .expectedHold = 2ms } };
-            Requests requests;
+            RequestFactory requests;
             const Instant start {};
             std::map<TeamName, std::uint32_t> weights;
             std::map<TeamName, Duration> holds;
@@ -84,7 +84,7 @@
                 totalWeight += weight;
             Duration total {};
             for (int round = 0; round < rounds; ++round) {
-                // Each team always has something waiting; how much more is of no account.
+                // Every team always has a waiting request; the length of its queue does not matter.
                 for (const auto& [team, weight] : weights) {
                     auto request = requests.next(team, start + 10h);
                     request.weight = weight;
@@ -103,13 +103,13 @@
         });
     }
 
-    TEST_CASE("a request waits no longer than its turn")
+    TEST_CASE("a request waits for at most one request of each other team")
     {
-        checkProperty("bound on the requests served before it", []() {
+        checkProperty("number of requests served before it", []() {
             const int others = *rc::gen::inRange(1, 8);
             const int backlog = *rc::gen::inRange(1, 60);
             FairQueue queue { { .connections = 1, .expectedHold = 1ms } };
-            Requests requests;
+            RequestFactory requests;
             const Instant start {};
             for (int index = 0; index < others; ++index) {
                 for (int copy = 0; copy < backlog; ++copy)
@@ -127,60 +127,60 @@
         });
     }
 
-    TEST_CASE("orders go before lookups within a team")
+    TEST_CASE("high priority goes before normal priority within a team")
     {
         FairQueue queue { { .connections = 1 } };
-        Requests requests;
+        RequestFactory requests;
         const Instant start {};
-        CHECK(isTaken(queue.push(requests.next(small, start + 1s), start)));
-        CHECK(isTaken(queue.push(requests.next(small, start + 1s, Priority::High), start)));
+        CHECK(isQueued(queue.push(requests.next(small, start + 1s), start)));
+        CHECK(isQueued(queue.push(requests.next(small, start + 1s, Priority::High), start)));
         CHECK(queue.pop()->priority == Priority::High);
         CHECK(queue.pop()->priority == Priority::Normal);
     }
 
-    TEST_CASE("orders of one team do not starve the lookups of another")
+    TEST_CASE("high priority of one team does not starve normal priority of another")
     {
-        // A team marks everything it sends as high priority. Without a bound on the lead that this gives, the
-        // lookups of the other team would never be served.
+        // Guards against a team that marks all its requests as high priority: without a limit on its lead,
+        // the other team's requests would never be served.
         FairQueue queue { { .connections = 1, .priorityLead = 20ms, .expectedHold = 2ms } };
-        Requests requests;
+        RequestFactory requests;
         const Instant start {};
         constexpr int served = 400;
-        int lookups = 0;
+        int servedNormalRequests = 0;
         for (int round = 0; round < served; ++round) {
             (void)queue.push(requests.next(large, start + 1h, Priority::High), start);
             (void)queue.push(requests.next(small, start + 1h), start);
             const auto next = queue.pop();
-            lookups += next->team == small ? 1 : 0;
+            servedNormalRequests += next->team == small ? 1 : 0;
             CHECK((round >= 8 || next->priority == Priority::High));
             queue.finished(*next, 2ms);
         }
-        CHECK(lookups > served * 45 / 100);
+        CHECK(servedNormalRequests > served * 45 / 100);
     }
 
-    TEST_CASE("what cannot be served before its deadline is refused at once")
+    TEST_CASE("a request that cannot be served before its deadline is refused at once")
     {
-        // The upstream has become slow, and the queue is longer than a request can wait. If it were taken,
-        // its caller would hear only at the deadline that it was in vain.
+        // Guards against a caller that learns only at its deadline that its request could not be served in
+        // time, because the upstream has become slow and the queue is too long.
         FairQueue queue { { .connections = 2, .expectedHold = 10ms } };
-        Requests requests;
+        RequestFactory requests;
         const Instant start {};
         for (int index = 0; index < 20; ++index)
-            REQUIRE(isTaken(queue.push(requests.next(large, start + 1s), start)));
+            REQUIRE(isQueued(queue.push(requests.next(large, start + 1s), start)));
         const auto refused = queue.push(requests.next(large, start + 50ms), start);
         REQUIRE(std::holds_alternative<QueueRefusal>(refused));
         const auto& refusal = std::get<QueueRefusal>(refused);
         CHECK(refusal.reason == RefusalReason::Overloaded);
         CHECK(refusal.retryAfter == 60ms);
-        CHECK(isTaken(queue.push(requests.next(large, start + 111ms), start)));
-        CHECK(isTaken(queue.push(requests.next(small, start + 50ms), start)));
+        CHECK(isQueued(queue.push(requests.next(large, start + 111ms), start)));
+        CHECK(isQueued(queue.push(requests.next(small, start + 50ms), start)));
     }
 
-    TEST_CASE("what is taken while service is constant is served in time")
+    TEST_CASE("queued requests are served in time at a constant service rate")
     {
-        checkProperty("no admitted request is late while nothing more important comes", [] {
+        checkProperty("no queued request is late without requests of higher priority", [] {
             FairQueue queue { { .connections = 1, .expectedHold = 2ms } };
-            Requests requests;
+            RequestFactory requests;
             Instant now {};
             const auto pushes = *rc::gen::container<std::vector<int>>(rc::gen::inRange(1, 120));
             for (const auto milliseconds : pushes)
@@ -195,31 +195,31 @@
         });
     }
 
-    TEST_CASE("during an outage what can wait is held and the rest refused")
+    TEST_CASE("during an outage requests that can wait are queued and others refused")
     {
         FairQueue queue { { .connections = 1 } };
-        Requests requests;
+        RequestFactory requests;
         const Instant start {};
         queue.setAvailableFrom(start + 3s, RefusalReason::NoPrimary);
-        CHECK(isTaken(queue.push(requests.next(small, start + 5s), start)));
+        CHECK(isQueued(queue.push(requests.next(small, start + 5s), start)));
         const auto refused = queue.push(requests.next(small, start + 1s), start);
         REQUIRE(std::holds_alternative<QueueRefusal>(refused));
         CHECK(std::get<QueueRefusal>(refused).reason == RefusalReason::NoPrimary);
         CHECK(std::get<QueueRefusal>(refused).retryAfter >= 2s);
     }
 
-    TEST_CASE("a full queue makes room for the team that holds less than its share")
+    TEST_CASE("a full queue evicts a request to make room for a team below its share")
     {
-        // One team has filled every place. Without pushing out, the next to come would be refused whoever it
-        // is, and the flooding team would keep all places as long as it sends faster.
+        // Guards against a flooding team keeping all places of a full queue: without eviction, the next
+        // request would be refused whichever team sends it.
         FairQueue queue { { .connections = 100, .maxQueued = 10, .maxQueuedPerTeam = 10 } };
-        Requests requests;
+        RequestFactory requests;
         const Instant start {};
         for (int index = 0; index < 10; ++index)
-            REQUIRE(isTaken(queue.push(requests.next(large, start + 1h), start)));
-        CHECK_FALSE(isTaken(queue.push(requests.next(large, start + 1h), start)));
+            REQUIRE(isQueued(queue.push(requests.next(large, start + 1h), start)));
+        CHECK_FALSE(isQueued(queue.push(requests.next(large, start + 1h), start)));
         const auto admission = queue.push(requests.next(small, start + 1h), start);
-        REQUIRE(isTaken(admission));
+        REQUIRE(isQueued(admission));
         CHECK(std::get<Queued>(admission).evicted->ticket == QueueTicket { 10 });
         CHECK(queue.size() == 10);
         CHECK(queue.pop()->team == large);
@@ -227,12 +227,12 @@
 
     TEST_CASE("every request leaves the queue exactly once")
     {
-        checkProperty("popped, evicted, expired or still there", [] {
+        checkProperty("a request is popped, evicted, expired or still queued", [] {
             FairQueue queue { { .connections = 2, .maxQueued = 8, .maxQueuedPerTeam = 6 } };
-            Requests requests;
+            RequestFactory requests;
             Instant now {};
             std::set<QueueTicket> waiting;
-            const auto leave
+            const auto removeWaiting
                 = [&](const QueuedRequest& request) { RC_ASSERT(waiting.erase(request.ticket) == 1U); };
             const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 8));
             for (const auto step : steps) {
@@ -241,18 +241,18 @@
                     const auto priority = step == 4 ? Priority::High : Priority::Normal;
                     const auto request = requests.next(step < 3 ? large : small, now + 20ms, priority);
                     const auto admission = queue.push(request, now);
-                    if (!isTaken(admission))
+                    if (!isQueued(admission))
                         continue;
                     waiting.insert(request.ticket);
                     if (const auto& evicted = std::get<Queued>(admission).evicted)
-                        leave(*evicted);
+                        removeWaiting(*evicted);
                 } else if (step == 5) {
                     for (const auto& request : queue.expire(now)) {
                         RC_ASSERT(request.deadline <= now);
-                        leave(request);
+                        removeWaiting(request);
                     }
                 } else if (const auto request = queue.pop()) {
-                    leave(*request);
+                    removeWaiting(*request);
                     queue.finished(*request, 3ms);
                 }
                 RC_ASSERT(queue.size() == waiting.size());
--- a/tests/failover/group_simulation.cpp
+++ b/tests/failover/group_simulation.cpp
@@ -300,8 +300,8 @@
     proxy.pendingConfirmations.clear();
     proxy.heldTasks.clear();
     proxy.polling = false;
-    proxy.tracker
-        = std::make_unique<ReplicaTracker>(ReplicaTracker::Options { .patience = this->options.patience });
+    proxy.tracker = std::make_unique<ReplicaTracker>(
+        ReplicaTracker::Options { .maxCatchUpWait = this->options.maxCatchUpWait });
     proxy.coordinator = std::make_unique<FailoverCoordinator>(FailoverCoordinator::Options {
         .vm = VmName { "vm" + std::to_string(index) + '.' + std::to_string(proxy.incarnation) },
         .slots = names,
--- a/tests/failover/group_simulation.h
+++ b/tests/failover/group_simulation.h
@@ -34,7 +34,7 @@
         cyclamendrift::Duration writeInterval = std::chrono::milliseconds { 100 };
         cyclamendrift::Duration readInterval = std::chrono::milliseconds { 50 };
         /// How long a read may wait for a replica to catch up.
-        cyclamendrift::Duration patience = std::chrono::milliseconds { 5 };
+        cyclamendrift::Duration maxCatchUpWait = std::chrono::milliseconds { 5 };
         /// Percentage of events that reach a coordinator a second time, later.
         unsigned duplicatePercentage = 0;
         bool readsFromPrimaryOnly = false;
--- a/tests/failover/group_simulation_sessions.cpp
+++ b/tests/failover/group_simulation_sessions.cpp
@@ -163,9 +163,9 @@
         .access = access, .seen = this->sessions[caller.session].seen, .arrivedAt = begunAt
     };
     auto& tracker = *this->proxies[proxyIndex].tracker;
-    auto choice = tracker.choose(request, this->clock, this->random);
+    auto choice = tracker.selectSlot(request, this->clock, this->random);
     if (this->options.readsFromPrimaryOnly)
-        choice = tracker.choose({ .access = PrimaryRead {}, .seen = request.seen, .arrivedAt = begunAt },
+        choice = tracker.selectSlot({ .access = PrimaryRead {}, .seen = request.seen, .arrivedAt = begunAt },
             this->clock, this->random);
     const auto retry
         = [this, proxyIndex, caller, access, begunAt] { this->read(proxyIndex, caller, access, begunAt); };
@@ -212,11 +212,12 @@
             };
             if (onPrimary && before->progress >= request.seen) {
                 this->awaitConfirmation(proxyIndex,
-                    confirmationOfPrimaryRead(
+                    makePrimaryReadOptions(
                         request.access, sample->status, sentAt, sentAt + confirmationDeadline),
                     { .onConfirmed = done, .onGivenUp = fail });
             } else if (!onPrimary
-                && this->proxies[proxyIndex].tracker->proves(request, *before, sample->status, this->clock)) {
+                && this->proxies[proxyIndex].tracker->provesFreshness(
+                    request, *before, sample->status, this->clock)) {
                 done();
             } else {
                 this->at(this->clock + 1ms, [=, this] {
--- a/tests/sessions/session_token_test.cpp
+++ b/tests/sessions/session_token_test.cpp
@@ -12,18 +12,18 @@
 
 namespace {
 
-DatabaseName databaseNumber(std::uint8_t number)
+DatabaseName makeDatabase(std::uint8_t number)
 {
     return { ServiceName { number % 2 == 0 ? "register" : "orders" }, "d" + std::to_string(number % 8) };
 }
 
 using Observations = std::vector<std::tuple<std::uint8_t, std::uint32_t, std::uint64_t>>;
 
-SessionToken tokenOf(const Observations& observations)
+SessionToken makeToken(const Observations& observations)
 {
     SessionToken token;
     for (const auto& [database, term, position] : observations)
-        token.observe(databaseNumber(database), { Term { term }, LogPosition { position } });
+        token.observe(makeDatabase(database), { Term { term }, LogPosition { position } });
     return token;
 }
 
@@ -37,26 +37,26 @@
 
 TEST_SUITE("session token")
 {
-    TEST_CASE("a token comes back whole from its text")
+    TEST_CASE("decoding an encoded token gives the same token")
     {
-        checkProperty("decode(encode) is the same", [](const Observations& observations) {
-            const auto token = tokenOf(observations);
+        checkProperty("decode(encode(token)) equals token", [](const Observations& observations) {
+            const auto token = makeToken(observations);
             RC_ASSERT(SessionToken::decode(token.encode()) == token);
         });
     }
 
-    TEST_CASE("merging takes the maximum in any order and never goes back")
+    TEST_CASE("merging takes the maximum in any order and never lowers progress")
     {
         checkProperty("commutative, associative, idempotent, monotonic",
             [](const Observations& a, const Observations& b, const Observations& c) {
-                const auto x = tokenOf(a);
-                const auto y = tokenOf(b);
-                const auto z = tokenOf(c);
+                const auto x = makeToken(a);
+                const auto y = makeToken(b);
+                const auto z = makeToken(c);
                 RC_ASSERT(merged(x, y) == merged(y, x));
                 RC_ASSERT(merged(merged(x, y), z) == merged(x, merged(y, z)));
                 RC_ASSERT(merged(x, x) == x);
                 for (std::uint8_t number = 0; number < 8; ++number) {
-                    const auto name = databaseNumber(number);
+                    const auto name = makeDatabase(number);
                     RC_ASSERT(merged(x, y).progressOf(name) >= x.progressOf(name));
                     RC_ASSERT(
                         merged(x, y).progressOf(name) == std::max(x.progressOf(name), y.progressOf(name)));
@@ -64,15 +64,15 @@
             });
     }
 
-    // A caller sends a token that was cut short, mistyped or made up. Taken as an empty session it would
-    // lose read-your-writes without a sign, so the caller gets an error instead.
-    TEST_CASE("a text that no proxy made is refused")
+    // Guards against a truncated, mistyped or forged token being taken as an empty session, which would
+    // silently lose read-your-writes.
+    TEST_CASE("a text that is not a valid token is rejected")
     {
         CHECK(SessionToken::decode("") == SessionToken {});
         CHECK_THROWS_AS(std::ignore = SessionToken::decode("!!"), SessionError);
         CHECK_THROWS_AS(std::ignore = SessionToken::decode("AAAA"), SessionError);
         CHECK_THROWS_AS(std::ignore = SessionToken::decode(std::string(20000, 'A')), SessionError);
-        checkProperty("garbage throws SessionError or decodes", [](const std::string& text) {
+        checkProperty("an arbitrary text throws SessionError or decodes", [](const std::string& text) {
             try {
                 const auto token = SessionToken::decode(text);
                 RC_ASSERT(SessionToken::decode(token.encode()) == token);
@@ -81,9 +81,8 @@
         });
     }
 
-    // A session that goes over very many databases would carry an ever longer token. It is told so before
-    // its statement runs; what the token holds already stays whole.
-    TEST_CASE("a token has room for a bounded number of databases")
+    // Guards against tokens that grow without bound, and against a full token losing its entries.
+    TEST_CASE("a full token rejects a further database and keeps its entries")
     {
         SessionToken token;
         const Progress progress { Term { 1 }, LogPosition { 1 } };
