--- a/include/cyclamendrift/pooling/engine_actions.h
+++ b/include/cyclamendrift/pooling/engine_actions.h
@@ -14,7 +14,7 @@
 #include <variant>
 #include <vector>
 
-/// Actions that a SessionEngine asks its owner to carry out.
+/// Actions that a SessionEngine asks its user to carry out.
 namespace cyclamendrift {
 
 /// Identifies one connection to an upstream.
--- a/include/cyclamendrift/pooling/session_engine.h
+++ b/include/cyclamendrift/pooling/session_engine.h
@@ -35,7 +35,7 @@
     bool contradictsView = false;
 };
 
-/// This VM's rank among the VMs that share the connections to the upstreams.
+/// Rank of this VM among the VMs that share the connections to the upstreams.
 struct FleetPlace {
     /// Number of VMs; 0 while the other VMs are unknown. Then only one connection to each upstream is safe.
     std::size_t vms = 0;
@@ -69,7 +69,7 @@
 
 /// Serves callers' sessions from a pool of upstream connections. It checks keys and limits, keeps the
 /// variables, prepared statements and transaction of each session, selects an upstream whose log is known to
-/// cover what a read must see, and never sends a write twice. It does no I/O: its owner reports events and
+/// cover what a read must see, and never sends a write twice. It does no I/O: its user reports events and
 /// carries out the actions that takeActions() returns. Not thread-safe.
 ///
 ///     engine.callerStartedSession(caller, start, now);
