--- a/include/cyclamendrift/commits/acknowledgements.h
+++ b/include/cyclamendrift/commits/confirmation_tracker.h
@@ -23,7 +23,7 @@
 ///     acknowledgements.observe(sampleOfReplica);
 ///     for (const auto confirmed : acknowledgements.take(now).confirmed)
 ///         answer(confirmed);
-class Acknowledgements {
+class ConfirmationTracker {
 public:
     struct Options {
         /// What the primary's status said after the commit or read, on the same connection.
@@ -41,13 +41,13 @@
         /// Kept by every promotion that can happen.
         std::vector<ConfirmationTicket> confirmed;
         /// To be answered at once: a write's outcome is unknown, a read has had no effect.
-        std::vector<ConfirmationTicket> givenUp;
+        std::vector<ConfirmationTicket> unconfirmed;
     };
 
     /// What a commit waits for, by the status that was read after it on the same connection. A status of a
     /// slot that is no primary any more proves nothing, so the commit is given up at once.
     ///
-    ///     acknowledgements.add(Acknowledgements::afterCommit(status, deadline));
+    ///     acknowledgements.add(ConfirmationTracker::afterCommit(status, deadline));
     [[nodiscard]] static Options afterCommit(const SlotStatus& status, Instant deadline) noexcept;
 
     /// Begins to wait. A ticket that needs no wait is in the next take().
--- a/include/cyclamendrift/commits/group_view.h
+++ b/include/cyclamendrift/commits/group_view.h
@@ -42,7 +42,7 @@
 };
 
 /// Groups of this size and above acknowledge by majority; smaller ones by their in-sync set.
-inline constexpr std::size_t majorityGroupSize = 3;
+inline constexpr std::size_t minMajorityGroupSize = 3;
 
 /// Slots that make a majority.
 ///
--- a/include/cyclamendrift/commits/ledger.h
+++ b/include/cyclamendrift/commits/ledger.h
@@ -19,20 +19,20 @@
 struct LedgerKey {
     TeamName team;
     RequestId request;
-    /// From Ledger::hashOf().
+    /// From Ledger::hashStatement().
     std::string statementHash;
 };
 
 /// The request has not committed.
 struct NotInLedger { };
 /// It committed; this was its answer.
-struct CommittedBefore {
+struct AlreadyCommitted {
     RowSet answer;
 };
 /// The id belongs to another statement of the same team.
-struct DifferentStatement { };
+struct StatementMismatch { };
 /// What the ledger says about a request.
-using LedgerFinding = std::variant<NotInLedger, CommittedBefore, DifferentStatement>;
+using LedgerLookupResult = std::variant<NotInLedger, AlreadyCommitted, StatementMismatch>;
 
 /// SQL of the table that keeps the outcome of each write in the database that it wrote to. The row is
 /// inserted in the write's own transaction, before its statement: it commits when the write commits, and a
@@ -54,7 +54,7 @@
     explicit Ledger(Options options);
 
     /// Hash of a statement with its parameters.
-    [[nodiscard]] static std::string hashOf(const Statement& statement);
+    [[nodiscard]] static std::string hashStatement(const Statement& statement);
 
     /// Creates the table if it is missing.
     [[nodiscard]] Statement createTable() const;
@@ -73,16 +73,17 @@
     [[nodiscard]] Statement lookUp(const LedgerKey& key) const;
 
     /// What the answer to lookUp() says.
-    [[nodiscard]] static LedgerFinding findingIn(const RowSet& lookUpAnswer, const LedgerKey& key);
+    [[nodiscard]] static LedgerLookupResult parseLookupAnswer(
+        const RowSet& lookUpAnswer, const LedgerKey& key);
 
     /// Deletes what is older than the retention.
-    [[nodiscard]] Statement prune(WallClockTime now) const;
+    [[nodiscard]] Statement deleteExpiredRows(WallClockTime now) const;
 
 private:
     Options options;
 };
 
 /// SQLSTATE of a unique violation, by which a taken request id shows.
-inline constexpr auto uniqueViolationState = "23505";
+inline constexpr auto uniqueViolationSqlState = "23505";
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/cyclamendrift.h
+++ b/include/cyclamendrift/cyclamendrift.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// Everything of cyclamendrift's decision library. Packages that do I/O have headers of their own.
-#include <cyclamendrift/commits/acknowledgements.h>
+#include <cyclamendrift/commits/confirmation_tracker.h>
 #include <cyclamendrift/commits/group_view.h>
 #include <cyclamendrift/commits/ledger.h>
 #include <cyclamendrift/commits/status_sample.h>
--- a/include/cyclamendrift/forward_declarations.h
+++ b/include/cyclamendrift/forward_declarations.h
@@ -3,7 +3,7 @@
 /// Names of the public types, for headers that only point at them.
 namespace cyclamendrift {
 
-class Acknowledgements;
+class ConfirmationTracker;
 class ConfigurationState;
 class ConnectionPool;
 class Error;
--- a/include/cyclamendrift/sessions/primary_read.h
+++ b/include/cyclamendrift/sessions/primary_read.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <cyclamendrift/commits/acknowledgements.h>
+#include <cyclamendrift/commits/confirmation_tracker.h>
 #include <cyclamendrift/core/instant.h>
 #include <cyclamendrift/core/slot_status.h>
 #include <cyclamendrift/core/statement.h>
@@ -12,7 +12,7 @@
 /// when its rows have grown too old. A read that is given up has had no effect and may be sent again.
 ///
 ///     acknowledgements.add(confirmationOfPrimaryRead(access, after, sentAt, deadline));
-[[nodiscard]] Acknowledgements::Options confirmationOfPrimaryRead(
+[[nodiscard]] ConfirmationTracker::Options confirmationOfPrimaryRead(
     const Access& access, const SlotStatus& after, Instant sentAt, Instant deadline);
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/sessions/replica_tracker.h
+++ b/include/cyclamendrift/sessions/replica_tracker.h
@@ -20,7 +20,7 @@
 struct ReadFromReplica {
     SlotName slot;
 };
-/// Send the statement to the primary; a read's answer then waits in Acknowledgements.
+/// Send the statement to the primary; a read's answer then waits in ConfirmationTracker.
 struct UsePrimary {
     SlotName slot;
 };
--- a/include/cyclamendrift/transactions/transaction_table.h
+++ b/include/cyclamendrift/transactions/transaction_table.h
@@ -16,15 +16,15 @@
 namespace cyclamendrift {
 
 /// Number of one exchange of a transaction with its connection; never used twice in a table.
-enum class ExchangeNumber : std::uint64_t {};
+enum class ExchangeId : std::uint64_t {};
 
 /// The connection that a transaction is pinned to, as its table's owner numbers them.
-enum class PinnedConnection : std::uint64_t {};
+enum class PinnedConnectionId : std::uint64_t {};
 
 /// The right to use a transaction's connection for one exchange.
 struct TransactionLease {
-    PinnedConnection connection {};
-    ExchangeNumber exchange {};
+    PinnedConnectionId connection {};
+    ExchangeId exchange {};
     /// True after a statement of it failed; it can only be rolled back.
     bool failed = false;
 };
@@ -33,13 +33,13 @@
 enum class ExchangeResult : std::uint8_t { Answered, StatementFailed, ConnectionLost };
 
 /// What the owner has to do after an exchange.
-enum class AfterExchange : std::uint8_t {
+enum class TransactionAction : std::uint8_t {
     /// Pass the answer on; the transaction stays open.
     KeepOpen,
     /// Its end was asked for meanwhile, or its connection is gone: roll back and discard the connection.
     RollBack,
     /// The transaction has ended: the answer belongs to nobody, or came out of turn.
-    Late,
+    DiscardAnswer,
 };
 
 /// Transactions of one home. Each is pinned to one connection, belongs to one key and team, and is lent out
@@ -66,40 +66,40 @@
     struct Owner {
         TeamName team;
         KeyId key;
-        PinnedConnection connection {};
+        PinnedConnectionId connection {};
     };
 
     /// A transaction that has to be rolled back now; the table has forgotten it.
     struct Ended {
         TransactionId id;
-        PinnedConnection connection {};
+        PinnedConnectionId connection {};
     };
 
     TransactionTable(Options options, RandomSource& random);
 
     /// True when a team may open one more now.
-    [[nodiscard]] bool mayOpen(const TeamName& team) const;
+    [[nodiscard]] bool canOpen(const TeamName& team) const;
 
     /// Reserves a place for a transaction that is about to be opened, or throws RequestError with Overloaded.
     void reserve(const TeamName& team);
 
     /// Gives back a place that reserve() took, when the transaction did not come about.
-    void unreserve(const TeamName& team);
+    void releaseReservation(const TeamName& team);
 
     /// Enters a transaction whose place was reserved, and returns its id.
     [[nodiscard]] TransactionId open(Owner owner, Instant now);
 
     /// Lends the connection for one exchange. Throws RequestError: UnknownTransaction when there is none of
     /// this id for this team and key, Conflict while another exchange runs. Nothing has run then.
-    [[nodiscard]] TransactionLease enter(
+    [[nodiscard]] TransactionLease beginExchange(
         const TransactionId& id, const TeamName& team, const KeyId& key, Instant now);
 
     /// Ends an exchange.
-    [[nodiscard]] AfterExchange leave(
-        const TransactionId& id, ExchangeNumber exchange, ExchangeResult result, Instant now);
+    [[nodiscard]] TransactionAction endExchange(
+        const TransactionId& id, ExchangeId exchange, ExchangeResult result, Instant now);
 
     /// Forgets a transaction that was committed or rolled back in this exchange; false when it came too late.
-    [[nodiscard]] bool close(const TransactionId& id, ExchangeNumber exchange);
+    [[nodiscard]] bool close(const TransactionId& id, ExchangeId exchange);
 
     /// Ends those that were idle or open for too long; one in an exchange ends at leave().
     [[nodiscard]] std::vector<Ended> expire(Instant now);
@@ -111,7 +111,7 @@
     [[nodiscard]] std::size_t size() const noexcept { return this->transactions.size(); }
 
     /// The VM that a transaction id names as its home; empty when it names none.
-    [[nodiscard]] static VmName homeOf(const TransactionId& id);
+    [[nodiscard]] static VmName ownerVmOf(const TransactionId& id);
 
 private:
     struct Transaction {
@@ -119,7 +119,7 @@
         Instant openedAt;
         Instant lastUsed;
         /// The exchange that is running.
-        std::optional<ExchangeNumber> running;
+        std::optional<ExchangeId> running;
         bool failed = false;
         bool ending = false;
     };
--- a/src/commits/acknowledgements.cpp
+++ b/src/commits/confirmation_tracker.cpp
@@ -1,4 +1,4 @@
-#include <cyclamendrift/commits/acknowledgements.h>
+#include <cyclamendrift/commits/confirmation_tracker.h>
 
 #include <algorithm>
 #include <utility>
@@ -8,23 +8,24 @@
 /// Between the commit and its status the slot may have been fenced and made to follow another primary, which
 /// dropped the commit. Its new position would be confirmed by every replica of the new term, and the caller
 /// would be told of a commit that is gone.
-Acknowledgements::Options Acknowledgements::afterCommit(const SlotStatus& status, Instant deadline) noexcept
+ConfirmationTracker::Options ConfirmationTracker::afterCommit(
+    const SlotStatus& status, Instant deadline) noexcept
 {
     if (!status.primary)
         return { .progress = status.progress, .notBefore = Instant::max(), .deadline = Instant::min() };
     return { .progress = status.progress, .deadline = deadline };
 }
 
-ConfirmationTicket Acknowledgements::add(Options options)
+ConfirmationTicket ConfirmationTracker::add(Options options)
 {
     const ConfirmationTicket ticket { ++this->lastTicket };
     this->pending.emplace(ticket, options);
     return ticket;
 }
 
-void Acknowledgements::cancel(ConfirmationTicket ticket) noexcept { this->pending.erase(ticket); }
+void ConfirmationTracker::cancel(ConfirmationTicket ticket) noexcept { this->pending.erase(ticket); }
 
-void Acknowledgements::observe(const StatusSample& sample)
+void ConfirmationTracker::observe(const StatusSample& sample)
 {
     auto& known = this->latest[sample.slot];
     // Samples come over several connections and through siblings, so an old one may arrive late; it would
@@ -33,13 +34,13 @@
         known = sample;
 }
 
-void Acknowledgements::setView(GroupView view)
+void ConfirmationTracker::setView(GroupView view)
 {
     if (view.term >= this->view.term)
         this->view = std::move(view);
 }
 
-Acknowledgements::Settled Acknowledgements::take(Instant now)
+ConfirmationTracker::Settled ConfirmationTracker::take(Instant now)
 {
     Settled settled;
     for (auto& [ticket, options] : this->pending) {
@@ -47,16 +48,16 @@
         if (!lost && this->isConfirmed(options))
             settled.confirmed.push_back(ticket);
         else if (lost || options.deadline <= now)
-            settled.givenUp.push_back(ticket);
+            settled.unconfirmed.push_back(ticket);
     }
     for (const auto ticket : settled.confirmed)
         this->pending.erase(ticket);
-    for (const auto ticket : settled.givenUp)
+    for (const auto ticket : settled.unconfirmed)
         this->pending.erase(ticket);
     return settled;
 }
 
-std::optional<Instant> Acknowledgements::nextDeadline() const noexcept
+std::optional<Instant> ConfirmationTracker::nextDeadline() const noexcept
 {
     const auto soonest = std::min_element(this->pending.begin(), this->pending.end(),
         [](const auto& left, const auto& right) { return left.second.deadline < right.second.deadline; });
@@ -65,11 +66,11 @@
     return soonest->second.deadline;
 }
 
-bool Acknowledgements::isConfirmed(const Options& options) const
+bool ConfirmationTracker::isConfirmed(const Options& options) const
 {
     if (options.progress.term != this->view.term)
         return false;
-    if (this->view.slots.size() < majorityGroupSize) {
+    if (this->view.slots.size() < minMajorityGroupSize) {
         return std::all_of(this->view.inSync.begin(), this->view.inSync.end(), [&](const SlotName& slot) {
             return slot == this->view.primary || this->confirms(slot, options);
         });
@@ -83,7 +84,7 @@
 /// A replica that has been fenced since is not counted: the primary of this term is being superseded, and the
 /// next view says whether the commit was kept. Nor is one in another term: its log at that position may hold
 /// something else.
-bool Acknowledgements::confirms(const SlotName& slot, const Options& options) const
+bool ConfirmationTracker::confirms(const SlotName& slot, const Options& options) const
 {
     const auto found = this->latest.find(slot);
     if (found == this->latest.end() || slot == this->view.primary)
@@ -98,7 +99,7 @@
 /// until a replica holds the beginning of the new term, the next promotion may choose a log without it. So it
 /// waits on, as if it had been made in the new term. A read that had to come from the primary in force is not
 /// carried over: when it was sent, the new primary may have been acknowledging commits already.
-bool Acknowledgements::isLost(Options& options) const
+bool ConfirmationTracker::isLost(Options& options) const
 {
     if (options.progress.term >= this->view.term)
         return false;
--- a/src/commits/ledger.cpp
+++ b/src/commits/ledger.cpp
@@ -111,7 +111,7 @@
 {
 }
 
-std::string Ledger::hashOf(const Statement& statement)
+std::string Ledger::hashStatement(const Statement& statement)
 {
     PartHash hash;
     hash.add(statement.text);
@@ -159,20 +159,20 @@
         .parameters = { rowIdOf(key) } };
 }
 
-LedgerFinding Ledger::findingIn(const RowSet& lookUpAnswer, const LedgerKey& key)
+LedgerLookupResult Ledger::parseLookupAnswer(const RowSet& lookUpAnswer, const LedgerKey& key)
 {
     if (lookUpAnswer.rows.empty())
         return NotInLedger {};
     const auto& row = lookUpAnswer.rows.front();
     if (row.at(0).value_or(std::string {}) != key.statementHash)
-        return DifferentStatement {};
+        return StatementMismatch {};
     wire::LedgerAnswer message;
     if (!message.ParseFromString(decode(row.at(1).value_or(std::string {}))))
         message.Clear();
-    return CommittedBefore { answerFrom(message) };
+    return AlreadyCommitted { answerFrom(message) };
 }
 
-Statement Ledger::prune(WallClockTime now) const
+Statement Ledger::deleteExpiredRows(WallClockTime now) const
 {
     return { .text = "DELETE FROM " + this->options.table + " WHERE recorded_at < $1",
         .parameters = { millisecondsOf(now - this->options.retention) } };
--- a/src/failover/failover_coordinator.cpp
+++ b/src/failover/failover_coordinator.cpp
@@ -377,7 +377,7 @@
 
 bool FailoverCoordinator::usesMajority() const noexcept
 {
-    return this->options.slots.size() >= majorityGroupSize;
+    return this->options.slots.size() >= minMajorityGroupSize;
 }
 
 Duration FailoverCoordinator::rankDelay() const noexcept
--- a/src/failover/primary_selection.cpp
+++ b/src/failover/primary_selection.cpp
@@ -70,7 +70,7 @@
 
 std::optional<SlotName> selectPrimary(const PrimarySelectionInput& input)
 {
-    if (input.slots.size() >= majorityGroupSize)
+    if (input.slots.size() >= minMajorityGroupSize)
         return selectByMajority(input);
     return selectByInSyncSet(input);
 }
--- a/src/proxy/confirmations.cpp
+++ b/src/proxy/confirmations.cpp
@@ -17,7 +17,7 @@
 {
 }
 
-asio::awaitable<bool> Confirmations::confirm(Acknowledgements::Options what)
+asio::awaitable<bool> Confirmations::confirm(ConfirmationTracker::Options what)
 {
     const auto self = this->shared_from_this();
     const auto ticket = this->acknowledgements.add(what);
@@ -42,7 +42,7 @@
     };
     for (const auto ticket : settled.confirmed)
         tell(ticket, true);
-    for (const auto ticket : settled.givenUp)
+    for (const auto ticket : settled.unconfirmed)
         tell(ticket, false);
 }
 
--- a/src/proxy/confirmations.h
+++ b/src/proxy/confirmations.h
@@ -3,7 +3,7 @@
 #include "slot_connections.h"
 #include <cyclamendrift/proxy/one_shot.h>
 
-#include <cyclamendrift/commits/acknowledgements.h>
+#include <cyclamendrift/commits/confirmation_tracker.h>
 #include <cyclamendrift/commits/group_view.h>
 #include <cyclamendrift/commits/status_sample.h>
 
@@ -36,7 +36,7 @@
     void kick();
 
     /// True when what was asked for is kept by every promotion that can happen; false when it was given up.
-    [[nodiscard]] asio::awaitable<bool> confirm(Acknowledgements::Options what);
+    [[nodiscard]] asio::awaitable<bool> confirm(ConfirmationTracker::Options what);
 
     void setView(const GroupView& view);
     void observe(const StatusSample& sample);
@@ -61,7 +61,7 @@
 
     Options options;
     GroupView view;
-    Acknowledgements acknowledgements;
+    ConfirmationTracker acknowledgements;
     std::map<ConfirmationTicket, std::shared_ptr<OneShot<bool>>> waiting;
     std::map<SlotName, Poller> pollers;
     bool stopped = false;
--- a/src/proxy/home_transactions.cpp
+++ b/src/proxy/home_transactions.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-std::shared_ptr<PooledConnection> UpstreamHome::pinnedConnection(PinnedConnection number) const
+std::shared_ptr<PooledConnection> UpstreamHome::pinnedConnection(PinnedConnectionId number) const
 {
     const auto entry = this->pinned.find(number);
     if (entry == this->pinned.end())
@@ -37,10 +37,10 @@
     try {
         connection = co_await this->openTransaction(request);
     } catch (...) {
-        this->transactions.unreserve(request.team);
+        this->transactions.releaseReservation(request.team);
         throw;
     }
-    const PinnedConnection number { ++this->lastPinned };
+    const PinnedConnectionId number { ++this->lastPinned };
     this->pinned.emplace(number, std::move(connection));
     ++this->counters.transactions;
     co_return this->transactions.open(
@@ -79,7 +79,7 @@
 
 asio::awaitable<HomeAnswer> UpstreamHome::executeInTransaction(HomeRequest request, TransactionId transaction)
 {
-    const auto lease = this->transactions.enter(transaction, request.team, request.key, this->now());
+    const auto lease = this->transactions.beginExchange(transaction, request.team, request.key, this->now());
     std::optional<UpstreamError> failure;
     RowSet rows;
     SlotName slot;
@@ -95,10 +95,10 @@
     const auto result = refused ? ExchangeResult::StatementFailed
         : failure               ? ExchangeResult::ConnectionLost
                                 : ExchangeResult::Answered;
-    const auto after = this->transactions.leave(transaction, lease.exchange, result, this->now());
-    if (after == AfterExchange::RollBack)
+    const auto after = this->transactions.endExchange(transaction, lease.exchange, result, this->now());
+    if (after == TransactionAction::RollBack)
         this->endTransactions({ { transaction, lease.connection } });
-    if (after != AfterExchange::KeepOpen)
+    if (after != TransactionAction::KeepOpen)
         throw rolledBack(failure ? failure->what() : "it had been ended");
     if (refused)
         throw ranAndFailed(*failure);
@@ -110,11 +110,11 @@
     const LedgerKey key { .team = request.team,
         .request = request.id,
         .statementHash
-        = Ledger::hashOf({ .text = "commit", .parameters = { request.transaction.string() } }) };
+        = Ledger::hashStatement({ .text = "commit", .parameters = { request.transaction.string() } }) };
     TransactionLease lease;
     std::optional<RequestError> unknown;
     try {
-        lease = this->transactions.enter(request.transaction, request.team, request.key, this->now());
+        lease = this->transactions.beginExchange(request.transaction, request.team, request.key, this->now());
     } catch (const RequestError& error) {
         if (!request.commit || error.reason() != RefusalReason::UnknownTransaction)
             throw;
@@ -140,7 +140,7 @@
 }
 
 asio::awaitable<Progress> UpstreamHome::commitPinned(std::shared_ptr<PooledConnection> connection,
-    const EndHomeRequest& request, const LedgerKey& key, ExchangeNumber exchange)
+    const EndHomeRequest& request, const LedgerKey& key, ExchangeId exchange)
 {
     const SlotControl control { this->options.slotControl };
     std::optional<UpstreamError> failure;
@@ -172,7 +172,7 @@
         throw rolledBack(failure->what());
     if (!failure) {
         this->takeSample({ slot, status, sentAt, this->now() });
-        if (co_await this->confirmations->confirm(Acknowledgements::afterCommit(status, request.deadline)))
+        if (co_await this->confirmations->confirm(ConfirmationTracker::afterCommit(status, request.deadline)))
             co_return status.progress;
     }
     ++this->counters.lostCommits;
--- a/src/proxy/home_writes.cpp
+++ b/src/proxy/home_writes.cpp
@@ -91,7 +91,7 @@
         throw notRun(RefusalReason::ShuttingDown, "the proxy is shutting down", comeBackSoon);
     this->retryBudget.requested();
     const LedgerKey key {
-        .team = request.team, .request = request.id, .statementHash = Ledger::hashOf(request.statement)
+        .team = request.team, .request = request.id, .statementHash = Ledger::hashStatement(request.statement)
     };
     const bool idempotent = std::get<Write>(request.access).idempotent;
     for (std::size_t attempt = 0;;) {
@@ -179,7 +179,7 @@
     if (failure)
         co_return this->failedCommit(*failure);
     this->takeSample({ slot, status, sentAt, this->now() });
-    if (!co_await this->confirmations->confirm(Acknowledgements::afterCommit(status, request.deadline)))
+    if (!co_await this->confirmations->confirm(ConfirmationTracker::afterCommit(status, request.deadline)))
         co_return FailedWrite { WriteFailure::LostCommit,
             outcomeUnknown(RefusalReason::NotConfirmed, "no replica confirmed the write") };
     ++this->counters.writes;
@@ -207,7 +207,7 @@
     if (isReadOnlyError(error))
         co_return FailedWrite { WriteFailure::TryAnother,
             notRun(RefusalReason::NoPrimary, error.what(), comeBackSoon) };
-    if (error.sqlState() != uniqueViolationState)
+    if (error.sqlState() != uniqueViolationSqlState)
         throw ranAndFailed(error);
     // Either the ledger knows the request already, or the caller's own statement hit a unique constraint.
     const auto slot = connection->slotName();
@@ -215,11 +215,11 @@
     const std::array statements { beginReadOnly, this->ledger.lookUp(key), control.statusStatement(),
         commitStatement };
     std::optional<UpstreamError> failure;
-    LedgerFinding finding;
+    LedgerLookupResult finding;
     SlotStatus status;
     try {
         const auto answers = co_await connection->execute(statements, request.deadline);
-        finding = Ledger::findingIn(answers.at(1), key);
+        finding = Ledger::parseLookupAnswer(answers.at(1), key);
         status = SlotControl::parse(answers.at(2));
     } catch (const UpstreamError& lost) {
         failure = lost;
@@ -230,13 +230,13 @@
             outcomeUnknown(RefusalReason::UpstreamLost, failure->what()) };
     if (std::holds_alternative<NotInLedger>(finding))
         throw ranAndFailed(error);
-    if (std::holds_alternative<DifferentStatement>(finding))
+    if (std::holds_alternative<StatementMismatch>(finding))
         throw differentStatement();
-    if (!co_await this->confirmations->confirm(Acknowledgements::afterCommit(status, request.deadline)))
+    if (!co_await this->confirmations->confirm(ConfirmationTracker::afterCommit(status, request.deadline)))
         co_return FailedWrite { WriteFailure::LostCommit,
             outcomeUnknown(RefusalReason::NotConfirmed, "not confirmed") };
     ++this->counters.replays;
-    co_return HomeAnswer { .rows = std::move(std::get<CommittedBefore>(finding).answer),
+    co_return HomeAnswer { .rows = std::move(std::get<AlreadyCommitted>(finding).answer),
         .seen = std::max(request.seen, status.progress),
         .replayed = true,
         .slot = slot };
@@ -258,7 +258,7 @@
     // Two that create it at once may collide; it exists then.
     constexpr auto duplicateTableState = "42P07";
     const bool collided = failure
-        && (failure->sqlState() == uniqueViolationState || failure->sqlState() == duplicateTableState);
+        && (failure->sqlState() == uniqueViolationSqlState || failure->sqlState() == duplicateTableState);
     if (failure && !collided)
         throw UpstreamError { *failure };
     this->ledgerTerm = term;
@@ -326,11 +326,11 @@
     if (answers.at(1).affectedRows == 1)
         throw notRun(RefusalReason::UpstreamLost, "the connection was lost and the write was rolled back",
             comeBackSoon);
-    auto finding = Ledger::findingIn(answers.at(2), key);
-    if (!std::holds_alternative<CommittedBefore>(finding))
+    auto finding = Ledger::parseLookupAnswer(answers.at(2), key);
+    if (!std::holds_alternative<AlreadyCommitted>(finding))
         throw differentStatement();
     ++this->counters.writes;
-    co_return HomeAnswer { .rows = std::move(std::get<CommittedBefore>(finding).answer),
+    co_return HomeAnswer { .rows = std::move(std::get<AlreadyCommitted>(finding).answer),
         .seen = std::max(seen, status.progress),
         .slot = slot };
 }
@@ -347,7 +347,7 @@
         co_return;
     this->pruning = true;
     try {
-        const std::array statements { this->ledger.prune(this->options.wallClock()) };
+        const std::array statements { this->ledger.deleteExpiredRows(this->options.wallClock()) };
         (void)co_await connection->execute(statements, this->now() + pruneTimeout);
     } catch (const UpstreamError&) {
         // The next round deletes what this one has left.
--- a/src/proxy/upstream_home.cpp
+++ b/src/proxy/upstream_home.cpp
@@ -163,7 +163,7 @@
 asio::awaitable<HomeAnswer> UpstreamHome::execute(HomeRequest request)
 {
     const auto self = this->shared_from_this();
-    if (controlsSession(request.statement.text)) {
+    if (isSessionControlStatement(request.statement.text)) {
         throw notRun(RefusalReason::BadRequest,
             "transactions are begun and ended by their own calls, and settings of a session cannot be "
             "changed");
--- a/src/proxy/upstream_home.h
+++ b/src/proxy/upstream_home.h
@@ -143,10 +143,10 @@
         HomeRequest request, TransactionId transaction);
     [[nodiscard]] asio::awaitable<Progress> endHere(EndHomeRequest request);
     [[nodiscard]] asio::awaitable<Progress> commitPinned(std::shared_ptr<PooledConnection> connection,
-        const EndHomeRequest& request, const LedgerKey& key, ExchangeNumber exchange);
+        const EndHomeRequest& request, const LedgerKey& key, ExchangeId exchange);
     [[nodiscard]] asio::awaitable<void> claimForCommit(
         PooledConnection& connection, const EndHomeRequest& request, const LedgerKey& key);
-    [[nodiscard]] std::shared_ptr<PooledConnection> pinnedConnection(PinnedConnection number) const;
+    [[nodiscard]] std::shared_ptr<PooledConnection> pinnedConnection(PinnedConnectionId number) const;
 
     DatabaseHomeOptions options;
     RandomSource random;
@@ -162,7 +162,7 @@
     std::map<SlotName, std::shared_ptr<SlotConnections>> slots;
     /// Slots that are asked for their status only, as their VMs are leaving.
     std::set<SlotName> leavingSlots;
-    std::map<PinnedConnection, std::shared_ptr<PooledConnection>> pinned;
+    std::map<PinnedConnectionId, std::shared_ptr<PooledConnection>> pinned;
     std::uint64_t lastPinned = 0;
     std::unique_ptr<TimerService::Subscription> ticks;
     std::optional<Instant> outageSince;
--- a/src/sessions/primary_read.cpp
+++ b/src/sessions/primary_read.cpp
@@ -5,10 +5,10 @@
 
 namespace cyclamendrift {
 
-Acknowledgements::Options confirmationOfPrimaryRead(
+ConfirmationTracker::Options confirmationOfPrimaryRead(
     const Access& access, const SlotStatus& after, Instant sentAt, Instant deadline)
 {
-    auto options = Acknowledgements::afterCommit(after, deadline);
+    auto options = ConfirmationTracker::afterCommit(after, deadline);
     // A slot that has become a replica meanwhile may be far behind its new primary.
     if (!after.primary || std::holds_alternative<SessionRead>(access))
         return options;
--- a/src/transactions/statement_guard.cpp
+++ b/src/transactions/statement_guard.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-bool controlsSession(std::string_view sql)
+bool isSessionControlStatement(std::string_view sql)
 {
     sql = withoutLeadingComments(sql);
     std::string word;
--- a/src/transactions/transaction_table.cpp
+++ b/src/transactions/transaction_table.cpp
@@ -25,7 +25,7 @@
     return entry == this->places.end() ? 0 : entry->second;
 }
 
-bool TransactionTable::mayOpen(const TeamName& team) const
+bool TransactionTable::canOpen(const TeamName& team) const
 {
     return this->totalPlaces < this->options.maxOpen && this->openOf(team) < this->options.maxOpenPerTeam;
 }
@@ -34,14 +34,14 @@
 {
     // Each open transaction keeps a connection from everybody else, so a team that opens many would starve
     // the others however fair the queue is.
-    if (!this->mayOpen(team))
+    if (!this->canOpen(team))
         throw notRun(
             RefusalReason::Overloaded, "too many transactions are open", this->options.idleTimeout / 10);
     ++this->places[team];
     ++this->totalPlaces;
 }
 
-void TransactionTable::unreserve(const TeamName& team)
+void TransactionTable::releaseReservation(const TeamName& team)
 {
     const auto entry = this->places.find(team);
     if (entry == this->places.end())
@@ -59,7 +59,7 @@
     return TransactionId { text.str() };
 }
 
-VmName TransactionTable::homeOf(const TransactionId& id)
+VmName TransactionTable::ownerVmOf(const TransactionId& id)
 {
     const auto end = id.view().rfind(homeSeparator);
     return end == std::string_view::npos ? VmName {} : VmName { std::string { id.view().substr(0, end) } };
@@ -73,7 +73,7 @@
     return id;
 }
 
-TransactionLease TransactionTable::enter(
+TransactionLease TransactionTable::beginExchange(
     const TransactionId& id, const TeamName& team, const KeyId& key, Instant now)
 {
     const auto entry = this->transactions.find(id);
@@ -85,37 +85,37 @@
     auto& transaction = entry->second;
     if (transaction.running)
         throw notRun(RefusalReason::Conflict, "another statement of the transaction is running");
-    transaction.running = ExchangeNumber { ++this->lastExchange };
+    transaction.running = ExchangeId { ++this->lastExchange };
     transaction.lastUsed = now;
     return { transaction.owner.connection, *transaction.running, transaction.failed };
 }
 
-AfterExchange TransactionTable::leave(
-    const TransactionId& id, ExchangeNumber exchange, ExchangeResult result, Instant now)
+TransactionAction TransactionTable::endExchange(
+    const TransactionId& id, ExchangeId exchange, ExchangeResult result, Instant now)
 {
     const auto entry = this->transactions.find(id);
     if (entry == this->transactions.end() || entry->second.running != exchange)
-        return AfterExchange::Late;
+        return TransactionAction::DiscardAnswer;
     auto& transaction = entry->second;
     transaction.running.reset();
     transaction.lastUsed = now;
     if (result == ExchangeResult::ConnectionLost || transaction.ending) {
-        this->unreserve(transaction.owner.team);
+        this->releaseReservation(transaction.owner.team);
         this->transactions.erase(entry);
-        return AfterExchange::RollBack;
+        return TransactionAction::RollBack;
     }
     // The database ends an aborted transaction with a rollback also when told to commit, and reports success:
     // the caller would take its writes for kept. So the failure is remembered here.
     transaction.failed = transaction.failed || result == ExchangeResult::StatementFailed;
-    return AfterExchange::KeepOpen;
+    return TransactionAction::KeepOpen;
 }
 
-bool TransactionTable::close(const TransactionId& id, ExchangeNumber exchange)
+bool TransactionTable::close(const TransactionId& id, ExchangeId exchange)
 {
     const auto entry = this->transactions.find(id);
     if (entry == this->transactions.end() || entry->second.running != exchange)
         return false;
-    this->unreserve(entry->second.owner.team);
+    this->releaseReservation(entry->second.owner.team);
     this->transactions.erase(entry);
     return true;
 }
@@ -137,7 +137,7 @@
             continue;
         }
         ended.push_back({ entry->first, transaction.owner.connection });
-        this->unreserve(transaction.owner.team);
+        this->releaseReservation(transaction.owner.team);
         entry = this->transactions.erase(entry);
     }
     return ended;
@@ -154,7 +154,7 @@
             continue;
         }
         ended.push_back({ entry->first, entry->second.owner.connection });
-        this->unreserve(entry->second.owner.team);
+        this->releaseReservation(entry->second.owner.team);
         entry = this->transactions.erase(entry);
     }
     return ended;
--- a/tests/commits/acknowledgements_test.cpp
+++ b/tests/commits/confirmation_tracker_test.cpp
@@ -1,4 +1,4 @@
-#include <cyclamendrift/commits/acknowledgements.h>
+#include <cyclamendrift/commits/confirmation_tracker.h>
 
 #include <doctest/doctest.h>
 
@@ -45,7 +45,7 @@
     // find the order gone after the promotion.
     TEST_CASE("a commit of three slots waits for one replica")
     {
-        Acknowledgements acknowledgements;
+        ConfirmationTracker acknowledgements;
         acknowledgements.setView(viewOf(1, a, { a, b, c }));
         const auto ticket = acknowledgements.add({ .progress = at(1, 10) });
         CHECK(acknowledgements.take(start).confirmed.empty());
@@ -59,7 +59,7 @@
     // primary it would acknowledge what the new log does not hold.
     TEST_CASE("a replica of another term confirms nothing")
     {
-        Acknowledgements acknowledgements;
+        ConfirmationTracker acknowledgements;
         acknowledgements.setView(viewOf(1, a, { a, b, c }));
         std::ignore = acknowledgements.add({ .progress = at(1, 10) });
         acknowledgements.observe(replica(b, at(2, 50)));
@@ -70,7 +70,7 @@
     // arrives after it. The superseded primary must not be believed because of it.
     TEST_CASE("a fenced replica confirms nothing, also when an older sample comes late")
     {
-        Acknowledgements acknowledgements;
+        ConfirmationTracker acknowledgements;
         acknowledgements.setView(viewOf(1, a, { a, b, c }));
         std::ignore = acknowledgements.add({ .progress = at(1, 10) });
         auto fenced = replica(b, at(1, 10), start + std::chrono::milliseconds { 5 });
@@ -84,7 +84,7 @@
     // commit if it were promoted.
     TEST_CASE("two slots need their in-sync set, and a lone primary nothing more")
     {
-        Acknowledgements acknowledgements;
+        ConfirmationTracker acknowledgements;
         acknowledgements.setView(viewOf(1, a, { a, b }, { a, b }));
         const auto ticket = acknowledgements.add({ .progress = at(1, 10) });
         CHECK(acknowledgements.take(start).confirmed.empty());
@@ -98,14 +98,14 @@
     // another slot has them too; the others are told at once that their outcome is unknown.
     TEST_CASE("commits are carried over a promotion that kept them")
     {
-        Acknowledgements acknowledgements;
+        ConfirmationTracker acknowledgements;
         acknowledgements.setView(viewOf(1, a, { a, b, c }));
         const auto kept = acknowledgements.add({ .progress = at(1, 10) });
         const auto dropped = acknowledgements.add({ .progress = at(1, 11) });
         acknowledgements.setView(viewOf(2, b, { a, b, c }, {}, at(1, 10)));
         const auto first = acknowledgements.take(start);
         CHECK(first.confirmed.empty());
-        CHECK(first.givenUp == std::vector { dropped });
+        CHECK(first.unconfirmed == std::vector { dropped });
         acknowledgements.observe(replica(c, at(2, 12)));
         CHECK(acknowledgements.take(start).confirmed == std::vector { kept });
     }
@@ -114,7 +114,7 @@
     // read do not prove that it was still in force.
     TEST_CASE("a read of the primary needs a confirmation asked for after it was sent")
     {
-        Acknowledgements acknowledgements;
+        ConfirmationTracker acknowledgements;
         acknowledgements.setView(viewOf(1, a, { a, b, c }));
         acknowledgements.observe(replica(b, at(1, 10), start));
         const auto later = start + std::chrono::milliseconds { 1 };
@@ -128,38 +128,38 @@
     // learns of the promotion. All that the read saw was kept, but newer orders are missing from it.
     TEST_CASE("a read that must be fresh is not carried over a promotion")
     {
-        Acknowledgements acknowledgements;
+        ConfirmationTracker acknowledgements;
         acknowledgements.setView(viewOf(1, a, { a, b }, { a, b }));
         const auto ticket = acknowledgements.add({ .progress = at(1, 10), .notBefore = start });
         acknowledgements.setView(viewOf(2, b, { a, b }, { b }, at(1, 10)));
         const auto settled = acknowledgements.take(start);
         CHECK(settled.confirmed.empty());
-        CHECK(settled.givenUp == std::vector { ticket });
+        CHECK(settled.unconfirmed == std::vector { ticket });
     }
 
     // Right after a commit its slot was fenced and made to follow another primary, which lacks the commit.
     // The status read next stands at a position that every replica will confirm, for another log.
     TEST_CASE("a commit whose slot is no primary any more is given up at once")
     {
-        Acknowledgements acknowledgements;
+        ConfirmationTracker acknowledgements;
         acknowledgements.setView(viewOf(2, b, { a, b, c }));
         acknowledgements.observe(replica(c, at(2, 30)));
         const auto status = replica(a, at(2, 20)).status;
-        const auto ticket = acknowledgements.add(Acknowledgements::afterCommit(status, Instant::max()));
+        const auto ticket = acknowledgements.add(ConfirmationTracker::afterCommit(status, Instant::max()));
         const auto settled = acknowledgements.take(start);
         CHECK(settled.confirmed.empty());
-        CHECK(settled.givenUp == std::vector { ticket });
+        CHECK(settled.unconfirmed == std::vector { ticket });
     }
 
     // No replica answers. The caller gets the truth at its deadline and not later.
     TEST_CASE("an unconfirmed commit is given up at its deadline")
     {
-        Acknowledgements acknowledgements;
+        ConfirmationTracker acknowledgements;
         acknowledgements.setView(viewOf(1, a, { a, b, c }));
         const auto deadline = start + std::chrono::seconds { 1 };
         const auto ticket = acknowledgements.add({ .progress = at(1, 10), .deadline = deadline });
         CHECK(acknowledgements.nextDeadline() == deadline);
-        CHECK(acknowledgements.take(start).givenUp.empty());
-        CHECK(acknowledgements.take(deadline).givenUp == std::vector { ticket });
+        CHECK(acknowledgements.take(start).unconfirmed.empty());
+        CHECK(acknowledgements.take(deadline).unconfirmed == std::vector { ticket });
     }
 }
--- a/tests/commits/ledger_test.cpp
+++ b/tests/commits/ledger_test.cpp
@@ -10,7 +10,7 @@
 {
     return { .team = TeamName { "hospitals" },
         .request = RequestId { request },
-        .statementHash = Ledger::hashOf(statement) };
+        .statementHash = Ledger::hashStatement(statement) };
 }
 
 RowSet lookUpAnswer(const LedgerKey& key, Value answer)
@@ -34,8 +34,8 @@
                 const Ledger ledger { {} };
                 const auto key = keyFor({ .text = "UPDATE beds", .parameters = {} });
                 const auto recorded = ledger.recordAnswer(key, answer).parameters.at(1);
-                const auto finding = Ledger::findingIn(lookUpAnswer(key, recorded), key);
-                const auto& found = std::get<CommittedBefore>(finding).answer;
+                const auto finding = Ledger::parseLookupAnswer(lookUpAnswer(key, recorded), key);
+                const auto& found = std::get<AlreadyCommitted>(finding).answer;
                 RC_ASSERT(found.columns == answer.columns);
                 RC_ASSERT(found.rows == answer.rows);
                 RC_ASSERT(found.affectedRows == affected);
@@ -46,15 +46,15 @@
     {
         const auto first = keyFor({ .text = "UPDATE beds SET free = $1", .parameters = { "a" } });
         const auto second = keyFor({ .text = "UPDATE beds SET free = $1", .parameters = { "b" } });
-        const auto finding = Ledger::findingIn(lookUpAnswer(first, {}), second);
-        CHECK(std::holds_alternative<DifferentStatement>(finding));
-        CHECK(std::holds_alternative<NotInLedger>(Ledger::findingIn({}, first)));
+        const auto finding = Ledger::parseLookupAnswer(lookUpAnswer(first, {}), second);
+        CHECK(std::holds_alternative<StatementMismatch>(finding));
+        CHECK(std::holds_alternative<NotInLedger>(Ledger::parseLookupAnswer({}, first)));
     }
 
     TEST_CASE("parameters that run together have different hashes")
     {
         const auto hash = [](std::vector<Value> parameters) {
-            return Ledger::hashOf({ .text = "s", .parameters = parameters });
+            return Ledger::hashStatement({ .text = "s", .parameters = parameters });
         };
         CHECK(hash({ "ab", "c" }) != hash({ "a", "bc" }));
         CHECK(hash({ std::nullopt }) != hash({ "" }));
@@ -76,8 +76,8 @@
         const auto key = keyFor({ .text = "s", .parameters = {} });
         const RowSet answer { .columns = { "c" }, .rows = { { std::string(100, 'x') } }, .affectedRows = 1 };
         const auto recorded = ledger.recordAnswer(key, answer).parameters.at(1);
-        const auto finding = Ledger::findingIn(lookUpAnswer(key, recorded), key);
-        CHECK(std::get<CommittedBefore>(finding).answer.affectedRows == 1);
-        CHECK(std::get<CommittedBefore>(finding).answer.rows.empty());
+        const auto finding = Ledger::parseLookupAnswer(lookUpAnswer(key, recorded), key);
+        CHECK(std::get<AlreadyCommitted>(finding).answer.affectedRows == 1);
+        CHECK(std::get<AlreadyCommitted>(finding).answer.rows.empty());
     }
 }
--- a/tests/failover/group_simulation.cpp
+++ b/tests/failover/group_simulation.cpp
@@ -522,7 +522,7 @@
         if (auto node = proxy.pendingConfirmations.extract(ticket))
             node.mapped().onConfirmed();
     }
-    for (const auto ticket : settled.givenUp) {
+    for (const auto ticket : settled.unconfirmed) {
         if (auto node = proxy.pendingConfirmations.extract(ticket))
             node.mapped().onGivenUp();
     }
--- a/tests/failover/group_simulation.h
+++ b/tests/failover/group_simulation.h
@@ -2,7 +2,7 @@
 
 #include "simulated_slot.h"
 
-#include <cyclamendrift/commits/acknowledgements.h>
+#include <cyclamendrift/commits/confirmation_tracker.h>
 #include <cyclamendrift/failover/failover_coordinator.h>
 #include <cyclamendrift/sessions/replica_tracker.h>
 
@@ -142,7 +142,7 @@
     };
     struct Proxy {
         std::unique_ptr<cyclamendrift::FailoverCoordinator> coordinator;
-        cyclamendrift::Acknowledgements acknowledgements;
+        cyclamendrift::ConfirmationTracker acknowledgements;
         std::unique_ptr<cyclamendrift::ReplicaTracker> tracker;
         std::map<cyclamendrift::ConfirmationTicket, PendingConfirmation> pendingConfirmations;
         std::deque<Task> heldTasks;
@@ -192,7 +192,7 @@
     void readLoop();
     void poll(std::size_t proxyIndex);
     void pollReplicas(std::size_t proxyIndex);
-    void awaitConfirmation(std::size_t proxyIndex, const cyclamendrift::Acknowledgements::Options& options,
+    void awaitConfirmation(std::size_t proxyIndex, const cyclamendrift::ConfirmationTracker::Options& options,
         PendingConfirmation pendingConfirmations);
     void write(std::size_t proxyIndex, Caller caller);
     void writeUntil(std::size_t proxyIndex, Caller caller, cyclamendrift::Instant sentAt,
--- a/tests/failover/group_simulation_sessions.cpp
+++ b/tests/failover/group_simulation_sessions.cpp
@@ -95,7 +95,7 @@
     }
 }
 
-void GroupSimulation::awaitConfirmation(std::size_t proxyIndex, const Acknowledgements::Options& options,
+void GroupSimulation::awaitConfirmation(std::size_t proxyIndex, const ConfirmationTracker::Options& options,
     PendingConfirmation pendingConfirmations)
 {
     auto& proxy = this->proxies[proxyIndex];
@@ -149,7 +149,7 @@
             }
             const auto progress = sample->status.progress;
             const auto until = this->clock + confirmationDeadline;
-            this->awaitConfirmation(proxyIndex, Acknowledgements::afterCommit(sample->status, until),
+            this->awaitConfirmation(proxyIndex, ConfirmationTracker::afterCommit(sample->status, until),
                 { .onConfirmed
                     = [this, caller, write, sentAt,
                           progress] { this->recordAcknowledgedWrite(caller, write, sentAt, progress); },
--- a/tests/transactions/statement_guard_test.cpp
+++ b/tests/transactions/statement_guard_test.cpp
@@ -12,9 +12,9 @@
         // the ledger, the second would change what the next team's statements on the connection mean.
         for (const auto* sql : { "COMMIT", "  commit;", "/* a /* b */ */ COMMIT", "-- x\nROLLBACK",
                  "set role x", ";; SET search_path TO x", "END", "prepare transaction 'x'" })
-            CHECK_MESSAGE(controlsSession(sql), sql);
+            CHECK_MESSAGE(isSessionControlStatement(sql), sql);
         for (const auto* sql : { "SELECT 1", "UPDATE beds SET free = 1", "settle", "/* COMMIT */ SELECT 1",
                  "WITH x AS (SELECT 1) SELECT * FROM x", "", "/*", "--" })
-            CHECK_FALSE_MESSAGE(controlsSession(sql), sql);
+            CHECK_FALSE_MESSAGE(isSessionControlStatement(sql), sql);
     }
 }
--- a/tests/transactions/transaction_table_test.cpp
+++ b/tests/transactions/transaction_table_test.cpp
@@ -24,7 +24,7 @@
     {
         this->table.reserve(team);
         return this->table.open(
-            { .team = team, .key = key, .connection = PinnedConnection { connection } }, this->now);
+            { .team = team, .key = key, .connection = PinnedConnectionId { connection } }, this->now);
     }
 };
 
@@ -46,32 +46,33 @@
     TEST_CASE("an id carries the name of its home")
     {
         Fixture fixture;
-        CHECK(TransactionTable::homeOf(fixture.open()) == VmName { "vm/1" });
-        CHECK(TransactionTable::homeOf(TransactionId { "nonsense" }).empty());
+        CHECK(TransactionTable::ownerVmOf(fixture.open()) == VmName { "vm/1" });
+        CHECK(TransactionTable::ownerVmOf(TransactionId { "nonsense" }).empty());
     }
 
     TEST_CASE("only the team and key that opened a transaction can use it")
     {
         Fixture fixture;
         const auto id = fixture.open();
-        const auto enter = [&](const TeamName& otherTeam, const KeyId& otherKey) {
-            return refusalOf([&] { (void)fixture.table.enter(id, otherTeam, otherKey, fixture.now); });
+        const auto beginExchange = [&](const TeamName& otherTeam, const KeyId& otherKey) {
+            return refusalOf(
+                [&] { (void)fixture.table.beginExchange(id, otherTeam, otherKey, fixture.now); });
         };
-        CHECK(enter(TeamName { "other" }, key) == RefusalReason::UnknownTransaction);
-        CHECK(enter(team, KeyId { "k2" }) == RefusalReason::UnknownTransaction);
-        CHECK(enter(team, key) == std::nullopt);
+        CHECK(beginExchange(TeamName { "other" }, key) == RefusalReason::UnknownTransaction);
+        CHECK(beginExchange(team, KeyId { "k2" }) == RefusalReason::UnknownTransaction);
+        CHECK(beginExchange(team, key) == std::nullopt);
     }
 
     TEST_CASE("two statements of a transaction never run at once")
     {
         Fixture fixture;
         const auto id = fixture.open();
-        const auto lease = fixture.table.enter(id, team, key, fixture.now);
-        CHECK(refusalOf([&] { (void)fixture.table.enter(id, team, key, fixture.now); })
+        const auto lease = fixture.table.beginExchange(id, team, key, fixture.now);
+        CHECK(refusalOf([&] { (void)fixture.table.beginExchange(id, team, key, fixture.now); })
             == RefusalReason::Conflict);
-        CHECK(fixture.table.leave(id, lease.exchange, ExchangeResult::Answered, fixture.now)
-            == AfterExchange::KeepOpen);
-        CHECK_FALSE(refusalOf([&] { (void)fixture.table.enter(id, team, key, fixture.now); }));
+        CHECK(fixture.table.endExchange(id, lease.exchange, ExchangeResult::Answered, fixture.now)
+            == TransactionAction::KeepOpen);
+        CHECK_FALSE(refusalOf([&] { (void)fixture.table.beginExchange(id, team, key, fixture.now); }));
     }
 
     TEST_CASE("an answer that comes after the end of its transaction belongs to nobody")
@@ -80,11 +81,11 @@
         // caller with the withdrawn key nor the next transaction.
         Fixture fixture;
         const auto id = fixture.open();
-        const auto lease = fixture.table.enter(id, team, key, fixture.now);
+        const auto lease = fixture.table.beginExchange(id, team, key, fixture.now);
         REQUIRE(fixture.table.withdrawKey(key).size() == 1);
-        CHECK(fixture.table.leave(id, lease.exchange, ExchangeResult::Answered, fixture.now)
-            == AfterExchange::Late);
-        CHECK(refusalOf([&] { (void)fixture.table.enter(id, team, key, fixture.now); })
+        CHECK(fixture.table.endExchange(id, lease.exchange, ExchangeResult::Answered, fixture.now)
+            == TransactionAction::DiscardAnswer);
+        CHECK(refusalOf([&] { (void)fixture.table.beginExchange(id, team, key, fixture.now); })
             == RefusalReason::UnknownTransaction);
     }
 
@@ -97,7 +98,7 @@
         const auto ended = fixture.table.expire(fixture.now + 10s);
         REQUIRE(ended.size() == 1);
         CHECK(ended.front().id == id);
-        CHECK(ended.front().connection == PinnedConnection { 7 });
+        CHECK(ended.front().connection == PinnedConnectionId { 7 });
         CHECK(fixture.table.size() == 0);
     }
 
@@ -105,10 +106,10 @@
     {
         Fixture fixture;
         const auto id = fixture.open();
-        const auto lease = fixture.table.enter(id, team, key, fixture.now);
+        const auto lease = fixture.table.beginExchange(id, team, key, fixture.now);
         CHECK(fixture.table.expire(fixture.now + 60s).empty());
-        CHECK(fixture.table.leave(id, lease.exchange, ExchangeResult::Answered, fixture.now + 61s)
-            == AfterExchange::RollBack);
+        CHECK(fixture.table.endExchange(id, lease.exchange, ExchangeResult::Answered, fixture.now + 61s)
+            == TransactionAction::RollBack);
         CHECK(fixture.table.size() == 0);
     }
 
@@ -118,12 +119,12 @@
         // take its reservation for kept.
         Fixture fixture;
         const auto id = fixture.open();
-        auto lease = fixture.table.enter(id, team, key, fixture.now);
-        (void)fixture.table.leave(id, lease.exchange, ExchangeResult::StatementFailed, fixture.now);
-        lease = fixture.table.enter(id, team, key, fixture.now);
+        auto lease = fixture.table.beginExchange(id, team, key, fixture.now);
+        (void)fixture.table.endExchange(id, lease.exchange, ExchangeResult::StatementFailed, fixture.now);
+        lease = fixture.table.beginExchange(id, team, key, fixture.now);
         CHECK(lease.failed);
-        (void)fixture.table.leave(id, lease.exchange, ExchangeResult::Answered, fixture.now);
-        CHECK(fixture.table.enter(id, team, key, fixture.now).failed);
+        (void)fixture.table.endExchange(id, lease.exchange, ExchangeResult::Answered, fixture.now);
+        CHECK(fixture.table.beginExchange(id, team, key, fixture.now).failed);
     }
 
     TEST_CASE("one team cannot pin all connections")
@@ -132,7 +133,7 @@
         (void)fixture.open();
         (void)fixture.open();
         CHECK(refusalOf([&] { fixture.table.reserve(team); }) == RefusalReason::Overloaded);
-        CHECK(fixture.table.mayOpen(TeamName { "other" }));
+        CHECK(fixture.table.canOpen(TeamName { "other" }));
     }
 
     TEST_CASE("statements of two transactions are never mixed")
@@ -141,13 +142,13 @@
         // would see a bed reserved by somebody else's transaction, or read somebody else's answer.
         checkProperty("one connection serves one transaction, one exchange at a time", [] {
             struct Model {
-                PinnedConnection connection {};
+                PinnedConnectionId connection {};
                 KeyId key;
-                std::optional<ExchangeNumber> running;
+                std::optional<ExchangeId> running;
             };
             struct Sent {
                 TransactionId id;
-                ExchangeNumber exchange {};
+                ExchangeId exchange {};
             };
             RandomSource random { 1 };
             TransactionTable table { { .vm = VmName { "vm" }, .maxOpen = 4, .maxOpenPerTeam = 4 }, random };
@@ -166,20 +167,20 @@
             for (int step = 0; step < steps; ++step) {
                 now += std::chrono::milliseconds { *rc::gen::inRange(0, 3000) };
                 const int what = *rc::gen::inRange(0, 10);
-                if (what < 2 && table.mayOpen(team)) {
+                if (what < 2 && table.canOpen(team)) {
                     const KeyId owner { what == 0 ? "k0" : "k1" };
                     table.reserve(team);
                     const auto id = table.open(
-                        { .team = team, .key = owner, .connection = PinnedConnection { ++lastConnection } },
+                        { .team = team, .key = owner, .connection = PinnedConnectionId { ++lastConnection } },
                         now);
                     RC_ASSERT(
-                        open.emplace(id, Model { PinnedConnection { lastConnection }, owner, {} }).second);
+                        open.emplace(id, Model { PinnedConnectionId { lastConnection }, owner, {} }).second);
                     everOpened.push_back(id);
                 } else if (what < 6 && !everOpened.empty()) {
                     const auto id = everOpened[*rc::gen::inRange<std::size_t>(0, everOpened.size())];
                     const KeyId caller { *rc::gen::arbitrary<bool>() ? "k0" : "k1" };
                     try {
-                        const auto lease = table.enter(id, team, caller, now);
+                        const auto lease = table.beginExchange(id, team, caller, now);
                         auto& model = open.at(id);
                         RC_ASSERT(model.key == caller);
                         RC_ASSERT(!model.running);
@@ -194,11 +195,12 @@
                     const auto answer = sent[*rc::gen::inRange<std::size_t>(0, sent.size())];
                     const auto model = open.find(answer.id);
                     const bool due = model != open.end() && model->second.running == answer.exchange;
-                    const auto after = table.leave(answer.id, answer.exchange, ExchangeResult::Answered, now);
-                    RC_ASSERT((after == AfterExchange::Late) == !due);
-                    if (after == AfterExchange::KeepOpen)
+                    const auto after
+                        = table.endExchange(answer.id, answer.exchange, ExchangeResult::Answered, now);
+                    RC_ASSERT((after == TransactionAction::DiscardAnswer) == !due);
+                    if (after == TransactionAction::KeepOpen)
                         model->second.running.reset();
-                    if (after == AfterExchange::RollBack)
+                    if (after == TransactionAction::RollBack)
                         open.erase(answer.id);
                 } else if (what == 8) {
                     forget(table.expire(now));
