--- a/include/cyclamendrift/commits/confirmation_tracker.h
+++ b/include/cyclamendrift/commits/confirmation_tracker.h
@@ -75,10 +75,10 @@
 private:
     [[nodiscard]] bool isConfirmed(const Options& options) const;
     [[nodiscard]] bool confirms(const SlotName& slot, const Options& options) const;
-    [[nodiscard]] bool isLost(Options& options) const;
+    [[nodiscard]] bool failsToCarryOver(Options& options) const;
 
     GroupView view;
-    std::map<SlotName, StatusSample> latest;
+    std::map<SlotName, StatusSample> latestSamples;
     std::map<ConfirmationTicket, Options> pending;
     std::uint64_t lastTicket = 0;
 };
--- a/include/cyclamendrift/transactions/transaction_table.h
+++ b/include/cyclamendrift/transactions/transaction_table.h
@@ -119,20 +119,20 @@
         Instant openedAt;
         Instant lastUsed;
         /// The exchange that is running.
-        std::optional<ExchangeId> running;
+        std::optional<ExchangeId> runningExchange;
         bool failed = false;
-        bool ending = false;
+        bool rollBackPending = false;
     };
     using Transactions = std::map<TransactionId, Transaction>;
 
-    [[nodiscard]] std::size_t openOf(const TeamName& team) const;
+    [[nodiscard]] std::size_t reservationsOf(const TeamName& team) const;
     [[nodiscard]] TransactionId newId();
 
     Options options;
     RandomSource& random;
     Transactions transactions;
-    std::map<TeamName, std::size_t> places;
-    std::size_t totalPlaces = 0;
+    std::map<TeamName, std::size_t> reservationsByTeam;
+    std::size_t totalReservations = 0;
     std::uint64_t lastExchange = 0;
     std::uint64_t lastTransaction = 0;
 };
--- a/src/commits/confirmation_tracker.cpp
+++ b/src/commits/confirmation_tracker.cpp
@@ -27,11 +27,11 @@
 
 void ConfirmationTracker::observe(const StatusSample& sample)
 {
-    auto& known = this->latest[sample.slot];
+    auto& latestSample = this->latestSamples[sample.slot];
     // Samples come over several connections and through siblings, so an old one may arrive late; it would
     // hide a fence that was seen since.
-    if (sample.askedAt >= known.askedAt)
-        known = sample;
+    if (sample.askedAt >= latestSample.askedAt)
+        latestSample = sample;
 }
 
 void ConfirmationTracker::setView(GroupView view)
@@ -44,7 +44,7 @@
 {
     Settled settled;
     for (auto& [ticket, options] : this->pending) {
-        const bool lost = this->isLost(options);
+        const bool lost = this->failsToCarryOver(options);
         if (!lost && this->isConfirmed(options))
             settled.confirmed.push_back(ticket);
         else if (lost || options.deadline <= now)
@@ -59,11 +59,11 @@
 
 std::optional<Instant> ConfirmationTracker::nextDeadline() const noexcept
 {
-    const auto soonest = std::min_element(this->pending.begin(), this->pending.end(),
+    const auto earliest = std::min_element(this->pending.begin(), this->pending.end(),
         [](const auto& left, const auto& right) { return left.second.deadline < right.second.deadline; });
-    if (soonest == this->pending.end())
+    if (earliest == this->pending.end())
         return std::nullopt;
-    return soonest->second.deadline;
+    return earliest->second.deadline;
 }
 
 bool ConfirmationTracker::isConfirmed(const Options& options) const
@@ -86,8 +86,8 @@
 /// something else.
 bool ConfirmationTracker::confirms(const SlotName& slot, const Options& options) const
 {
-    const auto found = this->latest.find(slot);
-    if (found == this->latest.end() || slot == this->view.primary)
+    const auto found = this->latestSamples.find(slot);
+    if (found == this->latestSamples.end() || slot == this->view.primary)
         return false;
     const auto& sample = found->second;
     const auto& status = sample.status;
@@ -99,7 +99,7 @@
 /// until a replica holds the beginning of the new term, the next promotion may choose a log without it. So it
 /// waits on, as if it had been made in the new term. A read that had to come from the primary in force is not
 /// carried over: when it was sent, the new primary may have been acknowledging commits already.
-bool ConfirmationTracker::isLost(Options& options) const
+bool ConfirmationTracker::failsToCarryOver(Options& options) const
 {
     if (options.progress.term >= this->view.term)
         return false;
--- a/src/commits/ledger.cpp
+++ b/src/commits/ledger.cpp
@@ -15,9 +15,9 @@
 constexpr auto base64Variant = sodium_base64_VARIANT_ORIGINAL;
 
 /// Hash over parts with their lengths, so that no two lists of parts run together into one text.
-class PartHash {
+class LengthPrefixedHash {
 public:
-    PartHash() { crypto_generichash_init(&this->state, nullptr, 0, crypto_generichash_BYTES); }
+    LengthPrefixedHash() { crypto_generichash_init(&this->state, nullptr, 0, crypto_generichash_BYTES); }
 
     void add(std::string_view part)
     {
@@ -26,7 +26,7 @@
         this->update(part);
     }
 
-    [[nodiscard]] std::string hex()
+    [[nodiscard]] std::string finishAsHex()
     {
         std::array<unsigned char, crypto_generichash_BYTES> digest {};
         crypto_generichash_final(&this->state, digest.data(), digest.size());
@@ -47,10 +47,10 @@
 
 std::string rowIdOf(const LedgerKey& key)
 {
-    PartHash hash;
+    LengthPrefixedHash hash;
     hash.add(key.team.view());
     hash.add(key.request.view());
-    return hash.hex();
+    return hash.finishAsHex();
 }
 
 std::string millisecondsOf(WallClockTime time) { return std::to_string(time.time_since_epoch().count()); }
@@ -85,7 +85,7 @@
     return answer;
 }
 
-std::string encode(const std::string& bytes)
+std::string encodeBase64(const std::string& bytes)
 {
     std::string text(sodium_base64_encoded_len(bytes.size(), base64Variant), '\0');
     sodium_bin2base64(text.data(), text.size(), reinterpret_cast<const unsigned char*>(bytes.data()),
@@ -94,7 +94,7 @@
     return text;
 }
 
-std::string decode(const std::string& text)
+std::string decodeBase64(const std::string& text)
 {
     std::string bytes(text.size(), '\0');
     std::size_t size = 0;
@@ -113,13 +113,13 @@
 
 std::string Ledger::hashStatement(const Statement& statement)
 {
-    PartHash hash;
+    LengthPrefixedHash hash;
     hash.add(statement.text);
     for (const auto& parameter : statement.parameters) {
         hash.add(parameter ? "value" : "null");
         hash.add(parameter.value_or(std::string {}));
     }
-    return hash.hex();
+    return hash.finishAsHex();
 }
 
 Statement Ledger::createTable() const
@@ -143,7 +143,7 @@
     if (bytes.size() > this->options.maxAnswerBytes)
         bytes = messageFrom(RowSet { .affectedRows = answer.affectedRows }).SerializeAsString();
     return { .text = "UPDATE " + this->options.table + " SET answer = $2 WHERE id = $1",
-        .parameters = { rowIdOf(key), encode(bytes) } };
+        .parameters = { rowIdOf(key), encodeBase64(bytes) } };
 }
 
 Statement Ledger::claim(const LedgerKey& key, WallClockTime now) const
@@ -167,7 +167,7 @@
     if (row.at(0).value_or(std::string {}) != key.statementHash)
         return StatementMismatch {};
     wire::LedgerAnswer message;
-    if (!message.ParseFromString(decode(row.at(1).value_or(std::string {}))))
+    if (!message.ParseFromString(decodeBase64(row.at(1).value_or(std::string {}))))
         message.Clear();
     return AlreadyCommitted { answerFrom(message) };
 }
--- a/src/transactions/statement_guard.cpp
+++ b/src/transactions/statement_guard.cpp
@@ -11,13 +11,13 @@
 
 /// A COMMIT within a write would commit it without its row in the ledger; a SET, LISTEN or DECLARE would stay
 /// with the connection and reach another team.
-constexpr std::array<std::string_view, 20> sessionCommands { "ABORT", "BEGIN", "CLOSE", "COMMIT", "COPY",
-    "DEALLOCATE", "DECLARE", "DISCARD", "END", "EXECUTE", "LISTEN", "LOAD", "PREPARE", "RELEASE", "RESET",
-    "ROLLBACK", "SAVEPOINT", "SET", "START", "UNLISTEN" };
+constexpr std::array<std::string_view, 20> sessionControlKeywords { "ABORT", "BEGIN", "CLOSE", "COMMIT",
+    "COPY", "DEALLOCATE", "DECLARE", "DISCARD", "END", "EXECUTE", "LISTEN", "LOAD", "PREPARE", "RELEASE",
+    "RESET", "ROLLBACK", "SAVEPOINT", "SET", "START", "UNLISTEN" };
 
-constexpr std::string_view blanks = " \t\r\n\f\v;";
+constexpr std::string_view leadingSeparators = " \t\r\n\f\v;";
 
-std::string_view withoutBlockComment(std::string_view sql)
+std::string_view skipBlockComment(std::string_view sql)
 {
     int depth = 0;
     while (sql.size() >= 2) {
@@ -34,14 +34,14 @@
     return {};
 }
 
-std::string_view withoutLeadingComments(std::string_view sql)
+std::string_view skipLeadingComments(std::string_view sql)
 {
     for (;;) {
-        sql.remove_prefix(std::min(sql.find_first_not_of(blanks), sql.size()));
+        sql.remove_prefix(std::min(sql.find_first_not_of(leadingSeparators), sql.size()));
         if (sql.starts_with("--"))
             sql.remove_prefix(std::min(sql.find('\n'), sql.size()));
         else if (sql.starts_with("/*"))
-            sql = withoutBlockComment(sql);
+            sql = skipBlockComment(sql);
         else
             return sql;
     }
@@ -51,14 +51,15 @@
 
 bool isSessionControlStatement(std::string_view sql)
 {
-    sql = withoutLeadingComments(sql);
-    std::string word;
+    sql = skipLeadingComments(sql);
+    std::string keyword;
     for (const char character : sql) {
         if (std::isalpha(static_cast<unsigned char>(character)) == 0)
             break;
-        word += static_cast<char>(std::toupper(static_cast<unsigned char>(character)));
+        keyword += static_cast<char>(std::toupper(static_cast<unsigned char>(character)));
     }
-    return std::find(sessionCommands.begin(), sessionCommands.end(), word) != sessionCommands.end();
+    return std::find(sessionControlKeywords.begin(), sessionControlKeywords.end(), keyword)
+        != sessionControlKeywords.end();
 }
 
 } // namespace cyclamendrift
--- a/src/transactions/transaction_table.cpp
+++ b/src/transactions/transaction_table.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr char homeSeparator = '/';
+constexpr char vmNameSeparator = '/';
 
 } // namespace
 
@@ -19,15 +19,16 @@
 {
 }
 
-std::size_t TransactionTable::openOf(const TeamName& team) const
+std::size_t TransactionTable::reservationsOf(const TeamName& team) const
 {
-    const auto entry = this->places.find(team);
-    return entry == this->places.end() ? 0 : entry->second;
+    const auto entry = this->reservationsByTeam.find(team);
+    return entry == this->reservationsByTeam.end() ? 0 : entry->second;
 }
 
 bool TransactionTable::canOpen(const TeamName& team) const
 {
-    return this->totalPlaces < this->options.maxOpen && this->openOf(team) < this->options.maxOpenPerTeam;
+    return this->totalReservations < this->options.maxOpen
+        && this->reservationsOf(team) < this->options.maxOpenPerTeam;
 }
 
 void TransactionTable::reserve(const TeamName& team)
@@ -37,31 +38,31 @@
     if (!this->canOpen(team))
         throw notRun(
             RefusalReason::Overloaded, "too many transactions are open", this->options.idleTimeout / 10);
-    ++this->places[team];
-    ++this->totalPlaces;
+    ++this->reservationsByTeam[team];
+    ++this->totalReservations;
 }
 
 void TransactionTable::releaseReservation(const TeamName& team)
 {
-    const auto entry = this->places.find(team);
-    if (entry == this->places.end())
+    const auto entry = this->reservationsByTeam.find(team);
+    if (entry == this->reservationsByTeam.end())
         return;
-    --this->totalPlaces;
+    --this->totalReservations;
     if (--entry->second == 0)
-        this->places.erase(entry);
+        this->reservationsByTeam.erase(entry);
 }
 
 TransactionId TransactionTable::newId()
 {
     std::ostringstream text;
-    text << this->options.vm.view() << homeSeparator << ++this->lastTransaction << '-' << std::hex
+    text << this->options.vm.view() << vmNameSeparator << ++this->lastTransaction << '-' << std::hex
          << this->random();
     return TransactionId { text.str() };
 }
 
 VmName TransactionTable::ownerVmOf(const TransactionId& id)
 {
-    const auto end = id.view().rfind(homeSeparator);
+    const auto end = id.view().rfind(vmNameSeparator);
     return end == std::string_view::npos ? VmName {} : VmName { std::string { id.view().substr(0, end) } };
 }
 
@@ -77,29 +78,29 @@
     const TransactionId& id, const TeamName& team, const KeyId& key, Instant now)
 {
     const auto entry = this->transactions.find(id);
-    const bool known = entry != this->transactions.end() && !entry->second.ending;
+    const bool known = entry != this->transactions.end() && !entry->second.rollBackPending;
     // A foreign transaction is answered like one that does not exist, so that ids cannot be probed for.
     if (!known || entry->second.owner.team != team || entry->second.owner.key != key)
         throw notRun(RefusalReason::UnknownTransaction,
             "no such transaction is open; it was rolled back if it ever was");
     auto& transaction = entry->second;
-    if (transaction.running)
+    if (transaction.runningExchange)
         throw notRun(RefusalReason::Conflict, "another statement of the transaction is running");
-    transaction.running = ExchangeId { ++this->lastExchange };
+    transaction.runningExchange = ExchangeId { ++this->lastExchange };
     transaction.lastUsed = now;
-    return { transaction.owner.connection, *transaction.running, transaction.failed };
+    return { transaction.owner.connection, *transaction.runningExchange, transaction.failed };
 }
 
 TransactionAction TransactionTable::endExchange(
     const TransactionId& id, ExchangeId exchange, ExchangeResult result, Instant now)
 {
     const auto entry = this->transactions.find(id);
-    if (entry == this->transactions.end() || entry->second.running != exchange)
+    if (entry == this->transactions.end() || entry->second.runningExchange != exchange)
         return TransactionAction::DiscardAnswer;
     auto& transaction = entry->second;
-    transaction.running.reset();
+    transaction.runningExchange.reset();
     transaction.lastUsed = now;
-    if (result == ExchangeResult::ConnectionLost || transaction.ending) {
+    if (result == ExchangeResult::ConnectionLost || transaction.rollBackPending) {
         this->releaseReservation(transaction.owner.team);
         this->transactions.erase(entry);
         return TransactionAction::RollBack;
@@ -113,7 +114,7 @@
 bool TransactionTable::close(const TransactionId& id, ExchangeId exchange)
 {
     const auto entry = this->transactions.find(id);
-    if (entry == this->transactions.end() || entry->second.running != exchange)
+    if (entry == this->transactions.end() || entry->second.runningExchange != exchange)
         return false;
     this->releaseReservation(entry->second.owner.team);
     this->transactions.erase(entry);
@@ -126,13 +127,14 @@
     for (auto entry = this->transactions.begin(); entry != this->transactions.end();) {
         auto& transaction = entry->second;
         const bool tooOld = now - transaction.openedAt >= this->options.maxAge;
-        const bool idle = !transaction.running && now - transaction.lastUsed >= this->options.idleTimeout;
+        const bool idle
+            = !transaction.runningExchange && now - transaction.lastUsed >= this->options.idleTimeout;
         if (!tooOld && !idle) {
             ++entry;
             continue;
         }
-        if (transaction.running) {
-            transaction.ending = true;
+        if (transaction.runningExchange) {
+            transaction.rollBackPending = true;
             ++entry;
             continue;
         }
--- a/tests/commits/confirmation_tracker_test.cpp
+++ b/tests/commits/confirmation_tracker_test.cpp
@@ -13,12 +13,12 @@
 const SlotName c { "c" };
 const Instant start { std::chrono::seconds { 100 } };
 
-Progress at(std::uint64_t term, std::uint64_t position)
+Progress progressAt(std::uint64_t term, std::uint64_t position)
 {
     return { .term = Term { term }, .position = LogPosition { position } };
 }
 
-StatusSample replica(const SlotName& slot, Progress progress, Instant when = start)
+StatusSample sampleFrom(const SlotName& slot, Progress progress, Instant when = start)
 {
     return { .slot = slot,
         .status = { .progress = progress, .fenced = progress.term },
@@ -45,94 +45,94 @@
     // find the order gone after the promotion.
     TEST_CASE("a commit of three slots waits for one replica")
     {
-        ConfirmationTracker acknowledgements;
-        acknowledgements.setView(viewOf(1, a, { a, b, c }));
-        const auto ticket = acknowledgements.add({ .progress = at(1, 10) });
-        CHECK(acknowledgements.take(start).confirmed.empty());
-        acknowledgements.observe(replica(b, at(1, 9)));
-        CHECK(acknowledgements.take(start).confirmed.empty());
-        acknowledgements.observe(replica(c, at(1, 10)));
-        CHECK(acknowledgements.take(start).confirmed == std::vector { ticket });
+        ConfirmationTracker tracker;
+        tracker.setView(viewOf(1, a, { a, b, c }));
+        const auto ticket = tracker.add({ .progress = progressAt(1, 10) });
+        CHECK(tracker.take(start).confirmed.empty());
+        tracker.observe(sampleFrom(b, progressAt(1, 9)));
+        CHECK(tracker.take(start).confirmed.empty());
+        tracker.observe(sampleFrom(c, progressAt(1, 10)));
+        CHECK(tracker.take(start).confirmed == std::vector { ticket });
     }
 
     // After a promotion a replica stands at a far position of the new term. Counted for a commit of the old
     // primary it would acknowledge what the new log does not hold.
     TEST_CASE("a replica of another term confirms nothing")
     {
-        ConfirmationTracker acknowledgements;
-        acknowledgements.setView(viewOf(1, a, { a, b, c }));
-        std::ignore = acknowledgements.add({ .progress = at(1, 10) });
-        acknowledgements.observe(replica(b, at(2, 50)));
-        CHECK(acknowledgements.take(start).confirmed.empty());
+        ConfirmationTracker tracker;
+        tracker.setView(viewOf(1, a, { a, b, c }));
+        std::ignore = tracker.add({ .progress = progressAt(1, 10) });
+        tracker.observe(sampleFrom(b, progressAt(2, 50)));
+        CHECK(tracker.take(start).confirmed.empty());
     }
 
     // A replica is fenced for the next term while its earlier answer is still on the way, and the late one
     // arrives after it. The superseded primary must not be believed because of it.
     TEST_CASE("a fenced replica confirms nothing, also when an older sample comes late")
     {
-        ConfirmationTracker acknowledgements;
-        acknowledgements.setView(viewOf(1, a, { a, b, c }));
-        std::ignore = acknowledgements.add({ .progress = at(1, 10) });
-        auto fenced = replica(b, at(1, 10), start + std::chrono::milliseconds { 5 });
+        ConfirmationTracker tracker;
+        tracker.setView(viewOf(1, a, { a, b, c }));
+        std::ignore = tracker.add({ .progress = progressAt(1, 10) });
+        auto fenced = sampleFrom(b, progressAt(1, 10), start + std::chrono::milliseconds { 5 });
         fenced.status.fenced = Term { 2 };
-        acknowledgements.observe(fenced);
-        acknowledgements.observe(replica(b, at(1, 10)));
-        CHECK(acknowledgements.take(start).confirmed.empty());
+        tracker.observe(fenced);
+        tracker.observe(sampleFrom(b, progressAt(1, 10)));
+        CHECK(tracker.take(start).confirmed.empty());
     }
 
     // Of two slots the replica is dead. Acknowledging without it before the record says so would lose the
     // commit if it were promoted.
     TEST_CASE("two slots need their in-sync set, and a lone primary nothing more")
     {
-        ConfirmationTracker acknowledgements;
-        acknowledgements.setView(viewOf(1, a, { a, b }, { a, b }));
-        const auto ticket = acknowledgements.add({ .progress = at(1, 10) });
-        CHECK(acknowledgements.take(start).confirmed.empty());
-        acknowledgements.setView(viewOf(1, a, { a, b }, { a }));
-        CHECK(acknowledgements.take(start).confirmed == std::vector { ticket });
-        std::ignore = acknowledgements.add({ .progress = at(2, 10) });
-        CHECK(acknowledgements.take(start).confirmed.empty());
+        ConfirmationTracker tracker;
+        tracker.setView(viewOf(1, a, { a, b }, { a, b }));
+        const auto ticket = tracker.add({ .progress = progressAt(1, 10) });
+        CHECK(tracker.take(start).confirmed.empty());
+        tracker.setView(viewOf(1, a, { a, b }, { a }));
+        CHECK(tracker.take(start).confirmed == std::vector { ticket });
+        std::ignore = tracker.add({ .progress = progressAt(2, 10) });
+        CHECK(tracker.take(start).confirmed.empty());
     }
 
     // The primary fails with commits waiting. Those that the promoted replica holds are answered "done" once
     // another slot has them too; the others are told at once that their outcome is unknown.
     TEST_CASE("commits are carried over a promotion that kept them")
     {
-        ConfirmationTracker acknowledgements;
-        acknowledgements.setView(viewOf(1, a, { a, b, c }));
-        const auto kept = acknowledgements.add({ .progress = at(1, 10) });
-        const auto dropped = acknowledgements.add({ .progress = at(1, 11) });
-        acknowledgements.setView(viewOf(2, b, { a, b, c }, {}, at(1, 10)));
-        const auto first = acknowledgements.take(start);
+        ConfirmationTracker tracker;
+        tracker.setView(viewOf(1, a, { a, b, c }));
+        const auto kept = tracker.add({ .progress = progressAt(1, 10) });
+        const auto dropped = tracker.add({ .progress = progressAt(1, 11) });
+        tracker.setView(viewOf(2, b, { a, b, c }, {}, progressAt(1, 10)));
+        const auto first = tracker.take(start);
         CHECK(first.confirmed.empty());
         CHECK(first.unconfirmed == std::vector { dropped });
-        acknowledgements.observe(replica(c, at(2, 12)));
-        CHECK(acknowledgements.take(start).confirmed == std::vector { kept });
+        tracker.observe(sampleFrom(c, progressAt(2, 12)));
+        CHECK(tracker.take(start).confirmed == std::vector { kept });
     }
 
     // A cut-off primary answers a read after another was promoted elsewhere. Replicas that agreed before the
     // read do not prove that it was still in force.
     TEST_CASE("a read of the primary needs a confirmation asked for after it was sent")
     {
-        ConfirmationTracker acknowledgements;
-        acknowledgements.setView(viewOf(1, a, { a, b, c }));
-        acknowledgements.observe(replica(b, at(1, 10), start));
+        ConfirmationTracker tracker;
+        tracker.setView(viewOf(1, a, { a, b, c }));
+        tracker.observe(sampleFrom(b, progressAt(1, 10), start));
         const auto later = start + std::chrono::milliseconds { 1 };
-        const auto ticket = acknowledgements.add({ .progress = at(1, 10), .notBefore = later });
-        CHECK(acknowledgements.take(later).confirmed.empty());
-        acknowledgements.observe(replica(b, at(1, 10), later));
-        CHECK(acknowledgements.take(later).confirmed == std::vector { ticket });
+        const auto ticket = tracker.add({ .progress = progressAt(1, 10), .notBefore = later });
+        CHECK(tracker.take(later).confirmed.empty());
+        tracker.observe(sampleFrom(b, progressAt(1, 10), later));
+        CHECK(tracker.take(later).confirmed == std::vector { ticket });
     }
 
     // A deposed primary comes back and answers a read while its proxy still believes in it; then the proxy
     // learns of the promotion. All that the read saw was kept, but newer orders are missing from it.
     TEST_CASE("a read that must be fresh is not carried over a promotion")
     {
-        ConfirmationTracker acknowledgements;
-        acknowledgements.setView(viewOf(1, a, { a, b }, { a, b }));
-        const auto ticket = acknowledgements.add({ .progress = at(1, 10), .notBefore = start });
-        acknowledgements.setView(viewOf(2, b, { a, b }, { b }, at(1, 10)));
-        const auto settled = acknowledgements.take(start);
+        ConfirmationTracker tracker;
+        tracker.setView(viewOf(1, a, { a, b }, { a, b }));
+        const auto ticket = tracker.add({ .progress = progressAt(1, 10), .notBefore = start });
+        tracker.setView(viewOf(2, b, { a, b }, { b }, progressAt(1, 10)));
+        const auto settled = tracker.take(start);
         CHECK(settled.confirmed.empty());
         CHECK(settled.unconfirmed == std::vector { ticket });
     }
@@ -141,12 +141,12 @@
     // The status read next stands at a position that every replica will confirm, for another log.
     TEST_CASE("a commit whose slot is no primary any more is given up at once")
     {
-        ConfirmationTracker acknowledgements;
-        acknowledgements.setView(viewOf(2, b, { a, b, c }));
-        acknowledgements.observe(replica(c, at(2, 30)));
-        const auto status = replica(a, at(2, 20)).status;
-        const auto ticket = acknowledgements.add(ConfirmationTracker::afterCommit(status, Instant::max()));
-        const auto settled = acknowledgements.take(start);
+        ConfirmationTracker tracker;
+        tracker.setView(viewOf(2, b, { a, b, c }));
+        tracker.observe(sampleFrom(c, progressAt(2, 30)));
+        const auto status = sampleFrom(a, progressAt(2, 20)).status;
+        const auto ticket = tracker.add(ConfirmationTracker::afterCommit(status, Instant::max()));
+        const auto settled = tracker.take(start);
         CHECK(settled.confirmed.empty());
         CHECK(settled.unconfirmed == std::vector { ticket });
     }
@@ -154,12 +154,12 @@
     // No replica answers. The caller gets the truth at its deadline and not later.
     TEST_CASE("an unconfirmed commit is given up at its deadline")
     {
-        ConfirmationTracker acknowledgements;
-        acknowledgements.setView(viewOf(1, a, { a, b, c }));
+        ConfirmationTracker tracker;
+        tracker.setView(viewOf(1, a, { a, b, c }));
         const auto deadline = start + std::chrono::seconds { 1 };
-        const auto ticket = acknowledgements.add({ .progress = at(1, 10), .deadline = deadline });
-        CHECK(acknowledgements.nextDeadline() == deadline);
-        CHECK(acknowledgements.take(start).unconfirmed.empty());
-        CHECK(acknowledgements.take(deadline).unconfirmed == std::vector { ticket });
+        const auto ticket = tracker.add({ .progress = progressAt(1, 10), .deadline = deadline });
+        CHECK(tracker.nextDeadline() == deadline);
+        CHECK(tracker.take(start).unconfirmed.empty());
+        CHECK(tracker.take(deadline).unconfirmed == std::vector { ticket });
     }
 }
--- a/tests/transactions/transaction_table_test.cpp
+++ b/tests/transactions/transaction_table_test.cpp
@@ -146,7 +146,7 @@
                 KeyId key;
                 std::optional<ExchangeId> running;
             };
-            struct Sent {
+            struct SentExchange {
                 TransactionId id;
                 ExchangeId exchange {};
             };
@@ -154,7 +154,7 @@
             TransactionTable table { { .vm = VmName { "vm" }, .maxOpen = 4, .maxOpenPerTeam = 4 }, random };
             std::map<TransactionId, Model> open;
             std::vector<TransactionId> everOpened;
-            std::vector<Sent> sent;
+            std::vector<SentExchange> sentExchanges;
             std::uint64_t lastConnection = 0;
             Instant now {};
             const auto forget = [&](const std::vector<TransactionTable::Ended>& ended) {
@@ -166,9 +166,9 @@
             const int steps = *rc::gen::inRange(0, 80);
             for (int step = 0; step < steps; ++step) {
                 now += std::chrono::milliseconds { *rc::gen::inRange(0, 3000) };
-                const int what = *rc::gen::inRange(0, 10);
-                if (what < 2 && table.canOpen(team)) {
-                    const KeyId owner { what == 0 ? "k0" : "k1" };
+                const int action = *rc::gen::inRange(0, 10);
+                if (action < 2 && table.canOpen(team)) {
+                    const KeyId owner { action == 0 ? "k0" : "k1" };
                     table.reserve(team);
                     const auto id = table.open(
                         { .team = team, .key = owner, .connection = PinnedConnectionId { ++lastConnection } },
@@ -176,7 +176,7 @@
                     RC_ASSERT(
                         open.emplace(id, Model { PinnedConnectionId { lastConnection }, owner, {} }).second);
                     everOpened.push_back(id);
-                } else if (what < 6 && !everOpened.empty()) {
+                } else if (action < 6 && !everOpened.empty()) {
                     const auto id = everOpened[*rc::gen::inRange<std::size_t>(0, everOpened.size())];
                     const KeyId caller { *rc::gen::arbitrary<bool>() ? "k0" : "k1" };
                     try {
@@ -186,23 +186,24 @@
                         RC_ASSERT(!model.running);
                         RC_ASSERT(lease.connection == model.connection);
                         model.running = lease.exchange;
-                        sent.push_back({ id, lease.exchange });
+                        sentExchanges.push_back({ id, lease.exchange });
                     } catch (const RequestError& error) {
                         RC_ASSERT(error.outcome() == Outcome::NotRun);
                     }
-                } else if (what < 8 && !sent.empty()) {
+                } else if (action < 8 && !sentExchanges.empty()) {
                     // Answers come in any order, and some twice.
-                    const auto answer = sent[*rc::gen::inRange<std::size_t>(0, sent.size())];
+                    const auto answer
+                        = sentExchanges[*rc::gen::inRange<std::size_t>(0, sentExchanges.size())];
                     const auto model = open.find(answer.id);
-                    const bool due = model != open.end() && model->second.running == answer.exchange;
+                    const bool expected = model != open.end() && model->second.running == answer.exchange;
                     const auto after
                         = table.endExchange(answer.id, answer.exchange, ExchangeResult::Answered, now);
-                    RC_ASSERT((after == TransactionAction::DiscardAnswer) == !due);
+                    RC_ASSERT((after == TransactionAction::DiscardAnswer) == !expected);
                     if (after == TransactionAction::KeepOpen)
                         model->second.running.reset();
                     if (after == TransactionAction::RollBack)
                         open.erase(answer.id);
-                } else if (what == 8) {
+                } else if (action == 8) {
                     forget(table.expire(now));
                 } else {
                     forget(table.withdrawKey(KeyId { "k0" }));
