--- a/include/cyclamendrift/commits/confirmation_tracker.h
+++ b/include/cyclamendrift/commits/confirmation_tracker.h
@@ -12,64 +12,65 @@
 
 namespace cyclamendrift {
 
-/// One commit or primary read that waits for its confirmation.
+/// Identifies one commit or primary read that waits for its confirmation.
 enum class ConfirmationTicket : std::uint64_t {};
 
-/// Holds back the answers of commits, and of reads at the primary, until no promotion that can happen loses
-/// what they say. Reads wait as well: data that only a primary holds may vanish with it, and a session would
-/// then go back in time.
+/// Tracks commits and primary reads until no possible promotion can lose what their answers report. Reads
+/// wait as well: data that only the primary holds may be lost with it, and the session would then read an
+/// older state than before.
 ///
-///     const auto ticket = acknowledgements.add({ .progress = answer.progress, .deadline = deadline });
-///     acknowledgements.observe(sampleOfReplica);
-///     for (const auto confirmed : acknowledgements.take(now).confirmed)
+///     const auto ticket = tracker.add({ .progress = answer.progress, .deadline = deadline });
+///     tracker.observe(sampleOfReplica);
+///     for (const auto confirmed : tracker.take(now).confirmed)
 ///         answer(confirmed);
 class ConfirmationTracker {
 public:
     struct Options {
-        /// What the primary's status said after the commit or read, on the same connection.
+        /// Progress that the primary reported after the commit or read, on the same connection.
         Progress progress;
-        /// Confirmations that were asked for earlier do not count. Leave it unset for a write. A read that
-        /// must come from the primary in force gives the time at which it was sent: a replica that is still
-        /// in the term after it proves that no other primary had been promoted.
+        /// Samples requested before this time do not confirm. Leave it unset for a write. A read that must
+        /// come from the current primary sets the time at which it was sent: a replica that is still in the
+        /// term at a later time proves that no other primary had been promoted.
         Instant notBefore = Instant::min();
-        /// When to give up.
+        /// Time after which the ticket is settled as unconfirmed.
         Instant deadline = Instant::max();
     };
 
-    /// Tickets that are settled; each is told once.
+    /// Tickets that were settled by one call of take(); each ticket is reported once.
     struct Settled {
-        /// Kept by every promotion that can happen.
+        /// Commits and reads whose data every possible promotion keeps.
         std::vector<ConfirmationTicket> confirmed;
-        /// To be answered at once: a write's outcome is unknown, a read has had no effect.
+        /// To be answered at once: the outcome of a write is unknown, a read has had no effect.
         std::vector<ConfirmationTicket> unconfirmed;
     };
 
-    /// What a commit waits for, by the status that was read after it on the same connection. A status of a
-    /// slot that is no primary any more proves nothing, so the commit is given up at once.
+    /// Returns what a commit waits for, from the status that was read after it on the same connection. The
+    /// status of a slot that is no longer the primary proves nothing, so the next take() reports such a
+    /// commit as unconfirmed.
     ///
-    ///     acknowledgements.add(ConfirmationTracker::afterCommit(status, deadline));
+    ///     tracker.add(ConfirmationTracker::afterCommit(status, deadline));
     [[nodiscard]] static Options afterCommit(const SlotStatus& status, Instant deadline) noexcept;
 
-    /// Begins to wait. A ticket that needs no wait is in the next take().
+    /// Adds a commit or read. If it needs no confirmation, the next take() returns it.
     [[nodiscard]] ConfirmationTicket add(Options options);
 
-    /// Forgets a ticket whose caller has gone.
+    /// Removes a ticket whose caller has disconnected.
     void cancel(ConfirmationTicket ticket) noexcept;
 
-    /// Takes in what a slot said of itself.
+    /// Records the status of a slot.
     void observe(const StatusSample& sample);
 
-    /// Takes in a view. Commits of an older term stay held while the new primary is known to have them, and
-    /// are given up otherwise.
+    /// Replaces the view unless its term is older. At the next take(), commits of an older term stay pending
+    /// if the new primary is known to have them; the others are unconfirmed.
     void setView(GroupView view);
 
-    /// What has been settled by now.
+    /// Removes the tickets that are settled at `now` and returns them.
     [[nodiscard]] Settled take(Instant now);
 
-    /// When take() has to be called even if nothing else happens.
+    /// Earliest deadline of a pending ticket, at which take() must be called; empty when none is pending.
     [[nodiscard]] std::optional<Instant> nextDeadline() const noexcept;
 
-    /// How many wait.
+    /// Number of pending tickets.
     [[nodiscard]] std::size_t waiting() const noexcept { return this->pending.size(); }
 
 private:
--- a/include/cyclamendrift/commits/group_view.h
+++ b/include/cyclamendrift/commits/group_view.h
@@ -8,43 +8,43 @@
 
 namespace cyclamendrift {
 
-/// What one proxy knows of a database group; replaced as a whole, never changed. It needs no expiry: what it
-/// says of a term stays true of that term, because the in-sync set of a term only ever shrinks and every
-/// change that could make an old view unsafe raises the term.
+/// State of a database group as one proxy knows it; replaced as a whole, never modified. It does not expire:
+/// what it says about a term stays true for that term, because the in-sync set of a term only shrinks and
+/// every change that could make an old view unsafe raises the term.
 ///
 ///     if (view.phase == GroupView::Phase::Serving)
 ///         send(view.primary, write);
 struct GroupView {
     enum class Phase : std::uint8_t {
-        /// Nothing is known yet; hold work.
+        /// Nothing is known yet; statements are queued.
         Unknown,
-        /// The primary is being replaced; hold what may wait within its deadline.
+        /// The primary is being replaced; statements that may wait until their deadline are queued.
         FailingOver,
-        /// The primary of the term has been seen to act as such.
+        /// The primary of the term has been observed to act as primary.
         Serving,
     };
 
     Phase phase = Phase::Unknown;
-    /// The term that `primary` was chosen in.
+    /// Term for which `primary` was selected.
     Term term {};
     SlotName primary;
-    /// Every slot of the group, the primary included.
+    /// All slots of the group, including the primary.
     std::vector<SlotName> slots;
-    /// Slots that must all hold a commit of this term when the group has fewer than three slots; may be a
-    /// superset of what is in force, which only delays acknowledgements.
+    /// Slots that must all hold a commit of this term when the group has fewer than three slots. It may be a
+    /// superset of the recorded in-sync set, which only delays acknowledgements.
     std::vector<SlotName> inSync;
-    /// Slots on VMs that are leaving; they get no new work.
+    /// Slots on VMs that are leaving; they receive no new statements.
     std::vector<SlotName> leaving;
-    /// Where the log of the primary stood, in the term before, when it was promoted: all up to here is kept.
+    /// Term and log position that the primary had reached when it was promoted; commits up to it are kept.
     Progress base;
 
     friend bool operator==(const GroupView&, const GroupView&) = default;
 };
 
-/// Groups of this size and above acknowledge by majority; smaller ones by their in-sync set.
+/// Number of slots from which a group acknowledges by majority; smaller groups use their in-sync set.
 inline constexpr std::size_t minMajorityGroupSize = 3;
 
-/// Slots that make a majority.
+/// Number of slots that form a majority of a group of `slots`.
 ///
 ///     majorityOf(3); // 2
 [[nodiscard]] constexpr std::size_t majorityOf(std::size_t slots) noexcept { return slots / 2 + 1; }
--- a/include/cyclamendrift/commits/ledger.h
+++ b/include/cyclamendrift/commits/ledger.h
@@ -12,31 +12,32 @@
 
 namespace cyclamendrift {
 
-/// Time of day, as rows that outlive a process have to carry it.
+/// Wall-clock time in milliseconds, for rows that outlive the process.
 using WallClockTime = std::chrono::time_point<std::chrono::system_clock, std::chrono::milliseconds>;
 
-/// One write in the ledger: whose request it is and what it asked for.
+/// Identifies one write in the ledger by team, request and statement.
 struct LedgerKey {
     TeamName team;
     RequestId request;
-    /// From Ledger::hashStatement().
+    /// Result of Ledger::hashStatement().
     std::string statementHash;
 };
 
-/// The request has not committed.
+/// The ledger has no row for the request: it has not committed.
 struct NotInLedger { };
-/// It committed; this was its answer.
+/// The request has committed; holds the answer that was recorded.
 struct AlreadyCommitted {
     RowSet answer;
 };
-/// The id belongs to another statement of the same team.
+/// The request id was used for another statement of the same team.
 struct StatementMismatch { };
-/// What the ledger says about a request.
+/// Result of looking up a request in the ledger.
 using LedgerLookupResult = std::variant<NotInLedger, AlreadyCommitted, StatementMismatch>;
 
-/// SQL of the table that keeps the outcome of each write in the database that it wrote to. The row is
-/// inserted in the write's own transaction, before its statement: it commits when the write commits, and a
-/// second attempt with the same id fails on the primary key before its statement runs.
+/// Builds the SQL statements of the ledger, a table in each database that records the outcome of the writes
+/// to that database. The row is inserted in the transaction of the write, before its statement: it commits
+/// when the write commits, and a second attempt with the same id violates the primary key before its
+/// statement runs.
 ///
 ///     Ledger ledger { {} };
 ///     pipeline = { begin, ledger.insert(key, now), statement };
@@ -45,45 +46,46 @@
 public:
     struct Options {
         std::string table = "cyclamendrift_ledger";
-        /// For this long a request id is remembered.
+        /// Time for which a request id is kept.
         std::chrono::milliseconds retention = std::chrono::hours { 1 };
-        /// Rows of a larger answer are not kept, only the number of affected rows.
+        /// Of an answer with a larger encoding only the number of affected rows is recorded.
         std::size_t maxAnswerBytes = 65536;
     };
 
     explicit Ledger(Options options);
 
-    /// Hash of a statement with its parameters.
+    /// Returns the hash of a statement and its parameters as hexadecimal text.
     [[nodiscard]] static std::string hashStatement(const Statement& statement);
 
-    /// Creates the table if it is missing.
+    /// Creates the table unless it exists.
     [[nodiscard]] Statement createTable() const;
 
-    /// Claims the request id; fails with a unique violation when it is taken.
+    /// Inserts the row of a request; fails with a unique violation if the request id exists.
     [[nodiscard]] Statement insert(const LedgerKey& key, WallClockTime now) const;
 
-    /// Adds the answer, in the same transaction.
+    /// Stores the answer in the row of the request, in the same transaction.
     [[nodiscard]] Statement recordAnswer(const LedgerKey& key, const RowSet& answer) const;
 
-    /// Claims the request id if it is free. Waits until an attempt that is still open has ended, and affects
-    /// one row when no attempt has committed and none that was open can any more. Roll it back afterwards.
+    /// Inserts the row unless the request id exists. Waits until an attempt that is still open has ended. It
+    /// affects one row if no attempt has committed and none that was open can still commit. Roll it back
+    /// afterwards.
     [[nodiscard]] Statement claim(const LedgerKey& key, WallClockTime now) const;
 
-    /// Reads what became of a request.
+    /// Selects the row of a request.
     [[nodiscard]] Statement lookUp(const LedgerKey& key) const;
 
-    /// What the answer to lookUp() says.
+    /// Interprets the answer to lookUp().
     [[nodiscard]] static LedgerLookupResult parseLookupAnswer(
         const RowSet& lookUpAnswer, const LedgerKey& key);
 
-    /// Deletes what is older than the retention.
+    /// Deletes the rows that are older than the retention.
     [[nodiscard]] Statement deleteExpiredRows(WallClockTime now) const;
 
 private:
     Options options;
 };
 
-/// SQLSTATE of a unique violation, by which a taken request id shows.
+/// SQLSTATE of a unique violation, which insert() causes if the request id exists.
 inline constexpr auto uniqueViolationSqlState = "23505";
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/commits/status_sample.h
+++ b/include/cyclamendrift/commits/status_sample.h
@@ -6,8 +6,8 @@
 
 namespace cyclamendrift {
 
-/// A status that a slot gave, with when it was asked and when the answer arrived. The slot took it at some
-/// point between the two.
+/// Status of a slot with the times of its request and of its arrival. The slot read the status at some time
+/// between the two.
 struct StatusSample {
     SlotName slot;
     SlotStatus status;
--- a/include/cyclamendrift/transactions/statement_guard.h
+++ b/include/cyclamendrift/transactions/statement_guard.h
@@ -4,8 +4,9 @@
 
 namespace cyclamendrift {
 
-/// True for a statement that a caller must not send through execute(): one that begins or ends a transaction,
-/// or changes the state of the session, which the next user of the connection would inherit.
+/// Whether a caller must not send the statement through execute(), because it begins or ends a transaction or
+/// changes the state of the database session, which the next user of the connection would inherit. Looks at
+/// the first keyword only.
 ///
 ///     isSessionControlStatement("/* x */ COMMIT"); // true
 ///     isSessionControlStatement("UPDATE beds SET free = 0"); // false
--- a/include/cyclamendrift/transactions/transaction_table.h
+++ b/include/cyclamendrift/transactions/transaction_table.h
@@ -12,53 +12,58 @@
 #include <string_view>
 #include <vector>
 
-/// Open transactions and whose they are.
+/// Open transactions, their owners and their connections.
 namespace cyclamendrift {
 
-/// Number of one exchange of a transaction with its connection; never used twice in a table.
+/// Identifies one exchange of a transaction with its connection; unique within a table.
 enum class ExchangeId : std::uint64_t {};
 
-/// The connection that a transaction is pinned to, as its table's owner numbers them.
+/// Identifies the connection that a transaction is pinned to; assigned by the user of the table.
 enum class PinnedConnectionId : std::uint64_t {};
 
-/// The right to use a transaction's connection for one exchange.
+/// Right to use the connection of a transaction for one exchange.
 struct TransactionLease {
     PinnedConnectionId connection {};
     ExchangeId exchange {};
-    /// True after a statement of it failed; it can only be rolled back.
+    /// Whether a statement of the transaction has failed, so that it can only be rolled back.
     bool failed = false;
 };
 
 /// How an exchange of a transaction ended.
 enum class ExchangeResult : std::uint8_t { Answered, StatementFailed, ConnectionLost };
 
-/// What the owner has to do after an exchange.
+/// What the user of the table must do after an exchange.
 enum class TransactionAction : std::uint8_t {
-    /// Pass the answer on; the transaction stays open.
+    /// Return the answer to the caller; the transaction stays open.
     KeepOpen,
-    /// Its end was asked for meanwhile, or its connection is gone: roll back and discard the connection.
+    /// The transaction became too old during the exchange or its connection was lost: roll back and discard
+    /// the
+    /// connection.
     RollBack,
-    /// The transaction has ended: the answer belongs to nobody, or came out of turn.
+    /// The transaction has ended or the answer belongs to an earlier exchange: discard the answer.
     DiscardAnswer,
 };
 
-/// Transactions of one home. Each is pinned to one connection, belongs to one key and team, and is lent out
-/// for one exchange at a time, so that its statements and answers cannot meet another's.
+/// Tracks the open transactions of a service owner. Each is pinned to one connection, belongs to one key and
+/// team, and runs one exchange at a time, so that its statements and answers cannot be mixed with those of
+/// another transaction.
 ///
+///     table.reserve(team); // throws RequestError
 ///     auto id = table.open({ .team = team, .key = key, .connection = connection }, now);
-///     auto lease = table.enter(*id, team, key, now); // throws RequestError
+///     auto lease = table.beginExchange(id, team, key, now); // throws RequestError
 ///     ...
-///     table.leave(*id, lease.exchange, ExchangeResult::Answered, now);
+///     table.endExchange(id, lease.exchange, ExchangeResult::Answered, now);
 class TransactionTable {
 public:
     struct Options {
-        /// This VM; every transaction id starts with its name.
+        /// Name of this VM; every transaction id starts with it.
         VmName vm;
-        /// Without a statement for this long, it is rolled back.
+        /// Time without a statement after which a transaction is rolled back.
         Duration idleTimeout = std::chrono::seconds { 10 };
-        /// From its begin to its end at most; a caller that trickles statements cannot hold on for ever.
+        /// Maximum time from the begin to the end of a transaction; it also bounds a caller that sends a
+        /// statement now and then and so never becomes idle.
         Duration maxAge = std::chrono::seconds { 60 };
-        /// Open at a time; the other connections stay free for single statements.
+        /// Maximum number of open transactions; the other connections stay free for single statements.
         std::size_t maxOpen = 4;
         std::size_t maxOpenPerTeam = 2;
     };
@@ -69,7 +74,7 @@
         PinnedConnectionId connection {};
     };
 
-    /// A transaction that has to be rolled back now; the table has forgotten it.
+    /// A transaction that must be rolled back now; the table no longer holds it.
     struct Ended {
         TransactionId id;
         PinnedConnectionId connection {};
@@ -77,40 +82,44 @@
 
     TransactionTable(Options options, RandomSource& random);
 
-    /// True when a team may open one more now.
+    /// Whether a team may open one more transaction now.
     [[nodiscard]] bool canOpen(const TeamName& team) const;
 
-    /// Reserves a place for a transaction that is about to be opened, or throws RequestError with Overloaded.
+    /// Counts a transaction that is about to be opened, or throws RequestError with Overloaded at a limit.
     void reserve(const TeamName& team);
 
-    /// Gives back a place that reserve() took, when the transaction did not come about.
+    /// Releases a reservation of reserve() if the transaction could not be opened.
     void releaseReservation(const TeamName& team);
 
-    /// Enters a transaction whose place was reserved, and returns its id.
+    /// Adds a transaction for which reserve() was called, and returns its id.
     [[nodiscard]] TransactionId open(Owner owner, Instant now);
 
-    /// Lends the connection for one exchange. Throws RequestError: UnknownTransaction when there is none of
-    /// this id for this team and key, Conflict while another exchange runs. Nothing has run then.
+    /// Begins an exchange on the connection of the transaction. Throws RequestError with UnknownTransaction
+    /// if this team and key have no transaction with this id, and with Conflict while another exchange runs;
+    /// no statement has run in either case.
     [[nodiscard]] TransactionLease beginExchange(
         const TransactionId& id, const TeamName& team, const KeyId& key, Instant now);
 
-    /// Ends an exchange.
+    /// Ends an exchange and returns what to do with its answer and transaction.
     [[nodiscard]] TransactionAction endExchange(
         const TransactionId& id, ExchangeId exchange, ExchangeResult result, Instant now);
 
-    /// Forgets a transaction that was committed or rolled back in this exchange; false when it came too late.
+    /// Removes a transaction that was committed or rolled back in this exchange; returns false if the
+    /// exchange is no longer the running one.
     [[nodiscard]] bool close(const TransactionId& id, ExchangeId exchange);
 
-    /// Ends those that were idle or open for too long; one in an exchange ends at leave().
+    /// Removes and returns the transactions that were idle or open for too long. One with a running exchange
+    /// that is too old is removed by endExchange().
     [[nodiscard]] std::vector<Ended> expire(Instant now);
 
-    /// Ends those of a withdrawn key; one in an exchange is cut off from its connection at once.
+    /// Removes and returns the transactions of a withdrawn key, including those with a running exchange,
+    /// whose answer is then discarded.
     [[nodiscard]] std::vector<Ended> withdrawKey(const KeyId& key);
 
-    /// Open transactions.
+    /// Number of open transactions.
     [[nodiscard]] std::size_t size() const noexcept { return this->transactions.size(); }
 
-    /// The VM that a transaction id names as its home; empty when it names none.
+    /// Returns the VM whose name the transaction id contains; empty if it contains none.
     [[nodiscard]] static VmName ownerVmOf(const TransactionId& id);
 
 private:
@@ -118,7 +127,7 @@
         Owner owner;
         Instant openedAt;
         Instant lastUsed;
-        /// The exchange that is running.
+        /// Empty between exchanges.
         std::optional<ExchangeId> runningExchange;
         bool failed = false;
         bool rollBackPending = false;
--- a/src/commits/confirmation_tracker.cpp
+++ b/src/commits/confirmation_tracker.cpp
@@ -5,9 +5,9 @@
 
 namespace cyclamendrift {
 
-/// Between the commit and its status the slot may have been fenced and made to follow another primary, which
-/// dropped the commit. Its new position would be confirmed by every replica of the new term, and the caller
-/// would be told of a commit that is gone.
+/// Between the commit and the status query the slot may have been fenced and made to follow another primary,
+/// which drops the commit. Every replica in the new term would confirm the new position, and the caller would
+/// be told that the lost commit succeeded.
 ConfirmationTracker::Options ConfirmationTracker::afterCommit(
     const SlotStatus& status, Instant deadline) noexcept
 {
@@ -28,8 +28,8 @@
 void ConfirmationTracker::observe(const StatusSample& sample)
 {
     auto& latestSample = this->latestSamples[sample.slot];
-    // Samples come over several connections and through siblings, so an old one may arrive late; it would
-    // hide a fence that was seen since.
+    // Samples arrive over several connections and through siblings, so an older sample may arrive after a
+    // newer one. Storing it would hide a fence that the newer sample showed.
     if (sample.askedAt >= latestSample.askedAt)
         latestSample = sample;
 }
@@ -81,9 +81,9 @@
     return static_cast<std::size_t>(replicas) + primaryItself >= majorityOf(this->view.slots.size());
 }
 
-/// A replica that has been fenced since is not counted: the primary of this term is being superseded, and the
-/// next view says whether the commit was kept. Nor is one in another term: its log at that position may hold
-/// something else.
+/// A replica that is fenced for a later term is not counted: the primary of this term is being replaced, and
+/// the next view tells whether the commit was kept. A replica in another term is not counted either: its log
+/// may hold other data at that position.
 bool ConfirmationTracker::confirms(const SlotName& slot, const Options& options) const
 {
     const auto found = this->latestSamples.find(slot);
@@ -95,10 +95,12 @@
         && status.progress.position >= options.progress.position && sample.askedAt >= options.notBefore;
 }
 
-/// After a promotion a commit of the term before is kept if the promoted log reached it. It is not safe yet:
-/// until a replica holds the beginning of the new term, the next promotion may choose a log without it. So it
-/// waits on, as if it had been made in the new term. A read that had to come from the primary in force is not
-/// carried over: when it was sent, the new primary may have been acknowledging commits already.
+/// Returns true if a promotion lost the commit or read; otherwise moves a commit of the previous term to the
+/// current one. A promotion keeps a commit if the promoted log reached it. The commit is not safe yet: until
+/// a replica holds the beginning of the new term, the next promotion may select a log without it. It
+/// therefore stays pending as if it had been made in the new term. A read that must come from the current
+/// primary is not carried over: when it was sent, the new primary may already have been acknowledging
+/// commits.
 bool ConfirmationTracker::failsToCarryOver(Options& options) const
 {
     if (options.progress.term >= this->view.term)
--- a/src/commits/ledger.cpp
+++ b/src/commits/ledger.cpp
@@ -14,7 +14,7 @@
 
 constexpr auto base64Variant = sodium_base64_VARIANT_ORIGINAL;
 
-/// Hash over parts with their lengths, so that no two lists of parts run together into one text.
+/// Hashes each part with its length before it, so that different lists of parts never hash the same text.
 class LengthPrefixedHash {
 public:
     LengthPrefixedHash() { crypto_generichash_init(&this->state, nullptr, 0, crypto_generichash_BYTES); }
--- a/src/transactions/statement_guard.cpp
+++ b/src/transactions/statement_guard.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// A COMMIT within a write would commit it without its row in the ledger; a SET, LISTEN or DECLARE would stay
-/// with the connection and reach another team.
+/// A COMMIT within a write would commit it without its row in the ledger. The effect of a SET, LISTEN or
+/// DECLARE would persist on the connection and affect another team.
 constexpr std::array<std::string_view, 20> sessionControlKeywords { "ABORT", "BEGIN", "CLOSE", "COMMIT",
     "COPY", "DEALLOCATE", "DECLARE", "DISCARD", "END", "EXECUTE", "LISTEN", "LOAD", "PREPARE", "RELEASE",
     "RESET", "ROLLBACK", "SAVEPOINT", "SET", "START", "UNLISTEN" };
--- a/src/transactions/transaction_table.cpp
+++ b/src/transactions/transaction_table.cpp
@@ -33,11 +33,10 @@
 
 void TransactionTable::reserve(const TeamName& team)
 {
-    // Each open transaction keeps a connection from everybody else, so a team that opens many would starve
-    // the others however fair the queue is.
+    // Each open transaction occupies a connection, so a team that opens many would starve the others even
+    // with a fair queue.
     if (!this->canOpen(team))
-        throw notRun(
-            RefusalReason::Overloaded, "too many transactions are open", this->options.idleTimeout / 10);
+        throw notRun(RefusalReason::Overloaded, "too many open transactions", this->options.idleTimeout / 10);
     ++this->reservationsByTeam[team];
     ++this->totalReservations;
 }
@@ -79,13 +78,14 @@
 {
     const auto entry = this->transactions.find(id);
     const bool known = entry != this->transactions.end() && !entry->second.rollBackPending;
-    // A foreign transaction is answered like one that does not exist, so that ids cannot be probed for.
+    // The error for another team's or key's transaction is the same as for an unknown id, so that callers
+    // cannot probe for ids.
     if (!known || entry->second.owner.team != team || entry->second.owner.key != key)
         throw notRun(RefusalReason::UnknownTransaction,
-            "no such transaction is open; it was rolled back if it ever was");
+            "no open transaction has this id; it was rolled back unless it was committed");
     auto& transaction = entry->second;
     if (transaction.runningExchange)
-        throw notRun(RefusalReason::Conflict, "another statement of the transaction is running");
+        throw notRun(RefusalReason::Conflict, "another statement of this transaction is still running");
     transaction.runningExchange = ExchangeId { ++this->lastExchange };
     transaction.lastUsed = now;
     return { transaction.owner.connection, *transaction.runningExchange, transaction.failed };
@@ -105,8 +105,8 @@
         this->transactions.erase(entry);
         return TransactionAction::RollBack;
     }
-    // The database ends an aborted transaction with a rollback also when told to commit, and reports success:
-    // the caller would take its writes for kept. So the failure is remembered here.
+    // The database answers a COMMIT of an aborted transaction with success although it rolls back, and the
+    // caller would assume that its writes were committed. The failure is therefore recorded here.
     transaction.failed = transaction.failed || result == ExchangeResult::StatementFailed;
     return TransactionAction::KeepOpen;
 }
@@ -147,8 +147,8 @@
 
 std::vector<TransactionTable::Ended> TransactionTable::withdrawKey(const KeyId& key)
 {
-    // A withdrawn key must stop working within seconds, also for a statement that has been sent: its answer
-    // finds no transaction then, and its connection is discarded.
+    // A withdrawn key must stop working within seconds, even for a statement that was already sent: the
+    // answer then matches no transaction, and the connection is discarded.
     std::vector<Ended> ended;
     for (auto entry = this->transactions.begin(); entry != this->transactions.end();) {
         if (entry->second.owner.key != key) {
--- a/tests/commits/confirmation_tracker_test.cpp
+++ b/tests/commits/confirmation_tracker_test.cpp
@@ -39,11 +39,11 @@
 
 } // namespace
 
-TEST_SUITE("acknowledgements")
+TEST_SUITE("confirmation tracker")
 {
-    // A primary commits and dies before any replica has the commit. A caller who had been told "done" would
-    // find the order gone after the promotion.
-    TEST_CASE("a commit of three slots waits for one replica")
+    // The primary commits and fails before any replica has the commit. A caller that had been told "done"
+    // would find its write lost after the promotion.
+    TEST_CASE("a commit in a group of three is confirmed by one replica")
     {
         ConfirmationTracker tracker;
         tracker.setView(viewOf(1, a, { a, b, c }));
@@ -55,9 +55,9 @@
         CHECK(tracker.take(start).confirmed == std::vector { ticket });
     }
 
-    // After a promotion a replica stands at a far position of the new term. Counted for a commit of the old
-    // primary it would acknowledge what the new log does not hold.
-    TEST_CASE("a replica of another term confirms nothing")
+    // After a promotion a replica reports a high position in the new term. Counting it for a commit of the
+    // old primary would acknowledge a commit that the new log does not hold.
+    TEST_CASE("a replica in another term does not confirm a commit")
     {
         ConfirmationTracker tracker;
         tracker.setView(viewOf(1, a, { a, b, c }));
@@ -66,9 +66,9 @@
         CHECK(tracker.take(start).confirmed.empty());
     }
 
-    // A replica is fenced for the next term while its earlier answer is still on the way, and the late one
-    // arrives after it. The superseded primary must not be believed because of it.
-    TEST_CASE("a fenced replica confirms nothing, also when an older sample comes late")
+    // A replica is fenced for the next term, and an earlier status of it arrives after the newer one. The
+    // earlier status must not confirm a commit of the replaced primary.
+    TEST_CASE("a fenced replica does not confirm even if an older sample arrives late")
     {
         ConfirmationTracker tracker;
         tracker.setView(viewOf(1, a, { a, b, c }));
@@ -80,9 +80,9 @@
         CHECK(tracker.take(start).confirmed.empty());
     }
 
-    // Of two slots the replica is dead. Acknowledging without it before the record says so would lose the
-    // commit if it were promoted.
-    TEST_CASE("two slots need their in-sync set, and a lone primary nothing more")
+    // In a group of two the replica has failed. Acknowledging without it before the record has removed it
+    // from the in-sync set would lose the commit if the replica were promoted.
+    TEST_CASE("a commit in a group of two is confirmed by its in-sync set")
     {
         ConfirmationTracker tracker;
         tracker.setView(viewOf(1, a, { a, b }, { a, b }));
@@ -94,9 +94,9 @@
         CHECK(tracker.take(start).confirmed.empty());
     }
 
-    // The primary fails with commits waiting. Those that the promoted replica holds are answered "done" once
-    // another slot has them too; the others are told at once that their outcome is unknown.
-    TEST_CASE("commits are carried over a promotion that kept them")
+    // The primary fails while commits are pending. Those that the promoted replica holds are confirmed once
+    // another slot has them too; the others are unconfirmed at once, since their outcome is unknown.
+    TEST_CASE("a promotion keeps pending commits within the promoted log and drops those beyond it")
     {
         ConfirmationTracker tracker;
         tracker.setView(viewOf(1, a, { a, b, c }));
@@ -110,9 +110,9 @@
         CHECK(tracker.take(start).confirmed == std::vector { kept });
     }
 
-    // A cut-off primary answers a read after another was promoted elsewhere. Replicas that agreed before the
-    // read do not prove that it was still in force.
-    TEST_CASE("a read of the primary needs a confirmation asked for after it was sent")
+    // A partitioned primary answers a read after another one was promoted. Samples of replicas from before
+    // the read do not prove that it was still the primary.
+    TEST_CASE("a primary read is confirmed only by a sample requested after it was sent")
     {
         ConfirmationTracker tracker;
         tracker.setView(viewOf(1, a, { a, b, c }));
@@ -124,9 +124,9 @@
         CHECK(tracker.take(later).confirmed == std::vector { ticket });
     }
 
-    // A deposed primary comes back and answers a read while its proxy still believes in it; then the proxy
-    // learns of the promotion. All that the read saw was kept, but newer orders are missing from it.
-    TEST_CASE("a read that must be fresh is not carried over a promotion")
+    // A replaced primary comes back and answers a read while its proxy still has the old view; then the proxy
+    // learns of the promotion. Everything that the read returned was kept, but newer commits are missing.
+    TEST_CASE("a pending primary read is unconfirmed after a promotion")
     {
         ConfirmationTracker tracker;
         tracker.setView(viewOf(1, a, { a, b }, { a, b }));
@@ -138,8 +138,8 @@
     }
 
     // Right after a commit its slot was fenced and made to follow another primary, which lacks the commit.
-    // The status read next stands at a position that every replica will confirm, for another log.
-    TEST_CASE("a commit whose slot is no primary any more is given up at once")
+    // The status read next has a position that every replica will confirm, but in another log.
+    TEST_CASE("a commit is unconfirmed at once if its slot is no longer the primary")
     {
         ConfirmationTracker tracker;
         tracker.setView(viewOf(2, b, { a, b, c }));
@@ -151,8 +151,8 @@
         CHECK(settled.unconfirmed == std::vector { ticket });
     }
 
-    // No replica answers. The caller gets the truth at its deadline and not later.
-    TEST_CASE("an unconfirmed commit is given up at its deadline")
+    // No replica answers. The caller must learn at its deadline that the outcome is unknown, and not later.
+    TEST_CASE("a pending commit is unconfirmed at its deadline")
     {
         ConfirmationTracker tracker;
         tracker.setView(viewOf(1, a, { a, b, c }));
--- a/tests/commits/ledger_test.cpp
+++ b/tests/commits/ledger_test.cpp
@@ -23,9 +23,9 @@
 
 TEST_SUITE("ledger")
 {
-    TEST_CASE("a second attempt gets the whole first answer")
+    TEST_CASE("a recorded answer is read back unchanged")
     {
-        checkProperty("answers survive the ledger",
+        checkProperty("a recorded answer equals the answer read back",
             [](const std::vector<std::string>& columns, const std::vector<std::string>& texts,
                 std::uint64_t affected) {
                 RowSet answer { .columns = columns, .rows = {}, .affectedRows = affected };
@@ -42,7 +42,7 @@
             });
     }
 
-    TEST_CASE("the same id with another statement is noticed")
+    TEST_CASE("a request id reused for another statement is a mismatch")
     {
         const auto first = keyFor({ .text = "UPDATE beds SET free = $1", .parameters = { "a" } });
         const auto second = keyFor({ .text = "UPDATE beds SET free = $1", .parameters = { "b" } });
@@ -51,7 +51,7 @@
         CHECK(std::holds_alternative<NotInLedger>(Ledger::parseLookupAnswer({}, first)));
     }
 
-    TEST_CASE("parameters that run together have different hashes")
+    TEST_CASE("parameter lists with the same concatenation have different hashes")
     {
         const auto hash = [](std::vector<Value> parameters) {
             return Ledger::hashStatement({ .text = "s", .parameters = parameters });
@@ -61,7 +61,7 @@
         CHECK(hash({ "a" }) == hash({ "a" }));
     }
 
-    TEST_CASE("teams that choose the same id do not meet")
+    TEST_CASE("the same request id of two teams refers to two rows")
     {
         const Ledger ledger { {} };
         auto other = keyFor({ .text = "s", .parameters = {} });
@@ -70,7 +70,7 @@
         CHECK(ledger.lookUp(other).parameters != own);
     }
 
-    TEST_CASE("an answer too large keeps its number of rows")
+    TEST_CASE("an answer over the size limit keeps only its affected row count")
     {
         const Ledger ledger { { .maxAnswerBytes = 10 } };
         const auto key = keyFor({ .text = "s", .parameters = {} });
--- a/tests/transactions/statement_guard_test.cpp
+++ b/tests/transactions/statement_guard_test.cpp
@@ -6,10 +6,10 @@
 
 TEST_SUITE("statement guard")
 {
-    TEST_CASE("a caller cannot end the transaction around its statement or leave a setting behind")
+    TEST_CASE("transaction and session control statements are recognized")
     {
-        // A caller sends COMMIT or SET as its statement. The first would commit a write without its row in
-        // the ledger, the second would change what the next team's statements on the connection mean.
+        // A caller sends COMMIT or SET as its statement. COMMIT would commit a write without its row in the
+        // ledger; SET would change how later statements of other teams on the connection behave.
         for (const auto* sql : { "COMMIT", "  commit;", "/* a /* b */ */ COMMIT", "-- x\nROLLBACK",
                  "set role x", ";; SET search_path TO x", "END", "prepare transaction 'x'" })
             CHECK_MESSAGE(isSessionControlStatement(sql), sql);
--- a/tests/transactions/transaction_table_test.cpp
+++ b/tests/transactions/transaction_table_test.cpp
@@ -41,9 +41,9 @@
 
 } // namespace
 
-TEST_SUITE("transactions")
+TEST_SUITE("transaction table")
 {
-    TEST_CASE("an id carries the name of its home")
+    TEST_CASE("a transaction id contains the name of its owner VM")
     {
         Fixture fixture;
         CHECK(TransactionTable::ownerVmOf(fixture.open()) == VmName { "vm/1" });
@@ -63,7 +63,7 @@
         CHECK(beginExchange(team, key) == std::nullopt);
     }
 
-    TEST_CASE("two statements of a transaction never run at once")
+    TEST_CASE("a second exchange of a transaction is refused while one is running")
     {
         Fixture fixture;
         const auto id = fixture.open();
@@ -75,10 +75,10 @@
         CHECK_FALSE(refusalOf([&] { (void)fixture.table.beginExchange(id, team, key, fixture.now); }));
     }
 
-    TEST_CASE("an answer that comes after the end of its transaction belongs to nobody")
+    TEST_CASE("an answer that arrives after its key was withdrawn is discarded")
     {
-        // A key is withdrawn while a statement runs. Its answer arrives later and must reach neither the
-        // caller with the withdrawn key nor the next transaction.
+        // A key is withdrawn while a statement runs. The later answer must reach neither the caller with the
+        // withdrawn key nor another transaction.
         Fixture fixture;
         const auto id = fixture.open();
         const auto lease = fixture.table.beginExchange(id, team, key, fixture.now);
@@ -89,9 +89,10 @@
             == RefusalReason::UnknownTransaction);
     }
 
-    TEST_CASE("an idle transaction is rolled back")
+    TEST_CASE("an idle transaction is rolled back after the idle timeout")
     {
-        // The caller has gone away without a word. Its locks would hold up all who need the same rows.
+        // The caller has disappeared without ending its transaction, whose locks would block all other users
+        // of the same rows.
         Fixture fixture;
         const auto id = fixture.open(7);
         CHECK(fixture.table.expire(fixture.now + 9s).empty());
@@ -102,7 +103,7 @@
         CHECK(fixture.table.size() == 0);
     }
 
-    TEST_CASE("a transaction too old is rolled back after the exchange that runs")
+    TEST_CASE("a transaction over its maximum age is rolled back after its running exchange")
     {
         Fixture fixture;
         const auto id = fixture.open();
@@ -113,10 +114,10 @@
         CHECK(fixture.table.size() == 0);
     }
 
-    TEST_CASE("a failed statement is remembered until the end")
+    TEST_CASE("a transaction stays failed after a failed statement")
     {
-        // The database answers COMMIT of an aborted transaction with success and rolls back. A caller would
-        // take its reservation for kept.
+        // The database answers COMMIT of an aborted transaction with success and rolls back. The caller would
+        // assume that its reservation was committed.
         Fixture fixture;
         const auto id = fixture.open();
         auto lease = fixture.table.beginExchange(id, team, key, fixture.now);
@@ -127,7 +128,7 @@
         CHECK(fixture.table.beginExchange(id, team, key, fixture.now).failed);
     }
 
-    TEST_CASE("one team cannot pin all connections")
+    TEST_CASE("a team cannot open more transactions than its limit")
     {
         Fixture fixture;
         (void)fixture.open();
@@ -136,10 +137,11 @@
         CHECK(fixture.table.canOpen(TeamName { "other" }));
     }
 
-    TEST_CASE("statements of two transactions are never mixed")
+    TEST_CASE("no exchange uses the connection of another transaction")
     {
-        // Whatever comes when: begins, statements, ends, late answers, time-outs and withdrawn keys. A user
-        // would see a bed reserved by somebody else's transaction, or read somebody else's answer.
+        // Random sequences of begins, statements, ends, late answers, timeouts and withdrawn keys. If
+        // exchanges were mixed, a statement would run in another user's transaction, or a user would read
+        // another's answer.
         checkProperty("one connection serves one transaction, one exchange at a time", [] {
             struct Model {
                 PinnedConnectionId connection {};
@@ -191,7 +193,7 @@
                         RC_ASSERT(error.outcome() == Outcome::NotRun);
                     }
                 } else if (action < 8 && !sentExchanges.empty()) {
-                    // Answers come in any order, and some twice.
+                    // Answers arrive in any order, and some arrive twice.
                     const auto answer
                         = sentExchanges[*rc::gen::inRange<std::size_t>(0, sentExchanges.size())];
                     const auto model = open.find(answer.id);
