--- a/include/cyclamendrift/commits/group_view.h
+++ b/include/cyclamendrift/commits/group_view.h
@@ -35,7 +35,7 @@
     std::vector<SlotName> inSync;
     /// Slots on VMs that are leaving; they receive no new statements.
     std::vector<SlotName> leaving;
-    /// Term and log position that the primary had reached when it was promoted; commits up to it are kept.
+    /// Progress of the primary in the previous term at its promotion; all commits up to it are kept.
     Progress base;
 
     friend bool operator==(const GroupView&, const GroupView&) = default;
--- a/include/cyclamendrift/transactions/transaction_table.h
+++ b/include/cyclamendrift/transactions/transaction_table.h
@@ -37,8 +37,7 @@
     /// Return the answer to the caller; the transaction stays open.
     KeepOpen,
     /// The transaction became too old during the exchange or its connection was lost: roll back and discard
-    /// the
-    /// connection.
+    /// the connection.
     RollBack,
     /// The transaction has ended or the answer belongs to an earlier exchange: discard the answer.
     DiscardAnswer,
