--- a/include/cyclamendrift/sessions/primary_read.h
+++ b/include/cyclamendrift/sessions/primary_read.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <cyclamendrift/commits/acknowledgements.h>
+#include <cyclamendrift/commits/confirmation_tracker.h>
 #include <cyclamendrift/core/instant.h>
 #include <cyclamendrift/core/slot_status.h>
 #include <cyclamendrift/core/statement.h>
@@ -13,7 +13,7 @@
 /// and may be sent again.
 ///
 ///     acknowledgements.add(makePrimaryReadOptions(access, after, sentAt, deadline));
-[[nodiscard]] Acknowledgements::Options makePrimaryReadOptions(
+[[nodiscard]] ConfirmationTracker::Options makePrimaryReadOptions(
     const Access& access, const SlotStatus& after, Instant sentAt, Instant deadline);
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/sessions/replica_tracker.h
+++ b/include/cyclamendrift/sessions/replica_tracker.h
@@ -20,7 +20,7 @@
 struct ReadFromReplica {
     SlotName slot;
 };
-/// Send the statement to the primary. The answer of a read has to be confirmed through Acknowledgements.
+/// Send the statement to the primary. The answer of a read has to be confirmed through ConfirmationTracker.
 struct UsePrimary {
     SlotName slot;
 };
--- a/src/sessions/primary_read.cpp
+++ b/src/sessions/primary_read.cpp
@@ -5,10 +5,10 @@
 
 namespace cyclamendrift {
 
-Acknowledgements::Options makePrimaryReadOptions(
+ConfirmationTracker::Options makePrimaryReadOptions(
     const Access& access, const SlotStatus& after, Instant sentAt, Instant deadline)
 {
-    auto options = Acknowledgements::afterCommit(after, deadline);
+    auto options = ConfirmationTracker::afterCommit(after, deadline);
     // A slot that has become a replica may lag far behind its new primary; afterCommit() gives up its reads.
     if (!after.primary || std::holds_alternative<SessionRead>(access))
         return options;
--- a/src/transactions/transaction_table.cpp
+++ b/src/transactions/transaction_table.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr char homeSeparator = '/';
+constexpr char vmNameSeparator = '/';
 
 } // namespace
 
@@ -19,49 +19,49 @@
 {
 }
 
-std::size_t TransactionTable::openOf(const TeamName& team) const
+std::size_t TransactionTable::reservationsOf(const TeamName& team) const
 {
-    const auto entry = this->places.find(team);
-    return entry == this->places.end() ? 0 : entry->second;
+    const auto entry = this->reservationsByTeam.find(team);
+    return entry == this->reservationsByTeam.end() ? 0 : entry->second;
 }
 
-bool TransactionTable::mayOpen(const TeamName& team) const
+bool TransactionTable::canOpen(const TeamName& team) const
 {
-    return this->totalPlaces < this->options.maxOpen && this->openOf(team) < this->options.maxOpenPerTeam;
+    return this->totalReservations < this->options.maxOpen
+        && this->reservationsOf(team) < this->options.maxOpenPerTeam;
 }
 
 void TransactionTable::reserve(const TeamName& team)
 {
-    // Each open transaction keeps a connection from everybody else, so a team that opens many would starve
-    // the others however fair the queue is.
-    if (!this->mayOpen(team))
-        throw notRun(
-            RefusalReason::Overloaded, "too many transactions are open", this->options.idleTimeout / 10);
-    ++this->places[team];
-    ++this->totalPlaces;
+    // Each open transaction occupies a connection, so a team that opens many would starve the others even
+    // with a fair queue.
+    if (!this->canOpen(team))
+        throw notRun(RefusalReason::Overloaded, "too many open transactions", this->options.idleTimeout / 10);
+    ++this->reservationsByTeam[team];
+    ++this->totalReservations;
 }
 
-void TransactionTable::unreserve(const TeamName& team)
+void TransactionTable::releaseReservation(const TeamName& team)
 {
-    const auto entry = this->places.find(team);
-    if (entry == this->places.end())
+    const auto entry = this->reservationsByTeam.find(team);
+    if (entry == this->reservationsByTeam.end())
         return;
-    --this->totalPlaces;
+    --this->totalReservations;
     if (--entry->second == 0)
-        this->places.erase(entry);
+        this->reservationsByTeam.erase(entry);
 }
 
 TransactionId TransactionTable::newId()
 {
     std::ostringstream text;
-    text << this->options.vm.view() << homeSeparator << ++this->lastTransaction << '-' << std::hex
+    text << this->options.vm.view() << vmNameSeparator << ++this->lastTransaction << '-' << std::hex
          << this->random();
     return TransactionId { text.str() };
 }
 
-VmName TransactionTable::homeOf(const TransactionId& id)
+VmName TransactionTable::ownerVmOf(const TransactionId& id)
 {
-    const auto end = id.view().rfind(homeSeparator);
+    const auto end = id.view().rfind(vmNameSeparator);
     return end == std::string_view::npos ? VmName {} : VmName { std::string { id.view().substr(0, end) } };
 }
 
@@ -73,49 +73,50 @@
     return id;
 }
 
-TransactionLease TransactionTable::enter(
+TransactionLease TransactionTable::beginExchange(
     const TransactionId& id, const TeamName& team, const KeyId& key, Instant now)
 {
     const auto entry = this->transactions.find(id);
-    const bool known = entry != this->transactions.end() && !entry->second.ending;
-    // A foreign transaction is answered like one that does not exist, so that ids cannot be probed for.
+    const bool known = entry != this->transactions.end() && !entry->second.rollBackPending;
+    // The error for another team's or key's transaction is the same as for an unknown id, so that callers
+    // cannot probe for ids.
     if (!known || entry->second.owner.team != team || entry->second.owner.key != key)
         throw notRun(RefusalReason::UnknownTransaction,
-            "no such transaction is open; it was rolled back if it ever was");
+            "no open transaction has this id; it was rolled back unless it was committed");
     auto& transaction = entry->second;
-    if (transaction.running)
-        throw notRun(RefusalReason::Conflict, "another statement of the transaction is running");
-    transaction.running = ExchangeNumber { ++this->lastExchange };
+    if (transaction.runningExchange)
+        throw notRun(RefusalReason::Conflict, "another statement of this transaction is still running");
+    transaction.runningExchange = ExchangeId { ++this->lastExchange };
     transaction.lastUsed = now;
-    return { transaction.owner.connection, *transaction.running, transaction.failed };
+    return { transaction.owner.connection, *transaction.runningExchange, transaction.failed };
 }
 
-AfterExchange TransactionTable::leave(
-    const TransactionId& id, ExchangeNumber exchange, ExchangeResult result, Instant now)
+TransactionAction TransactionTable::endExchange(
+    const TransactionId& id, ExchangeId exchange, ExchangeResult result, Instant now)
 {
     const auto entry = this->transactions.find(id);
-    if (entry == this->transactions.end() || entry->second.running != exchange)
-        return AfterExchange::Late;
+    if (entry == this->transactions.end() || entry->second.runningExchange != exchange)
+        return TransactionAction::DiscardAnswer;
     auto& transaction = entry->second;
-    transaction.running.reset();
+    transaction.runningExchange.reset();
     transaction.lastUsed = now;
-    if (result == ExchangeResult::ConnectionLost || transaction.ending) {
-        this->unreserve(transaction.owner.team);
+    if (result == ExchangeResult::ConnectionLost || transaction.rollBackPending) {
+        this->releaseReservation(transaction.owner.team);
         this->transactions.erase(entry);
-        return AfterExchange::RollBack;
+        return TransactionAction::RollBack;
     }
-    // The database ends an aborted transaction with a rollback also when told to commit, and reports success:
-    // the caller would take its writes for kept. So the failure is remembered here.
+    // The database answers a COMMIT of an aborted transaction with success although it rolls back, and the
+    // caller would assume that its writes were committed. The failure is therefore recorded here.
     transaction.failed = transaction.failed || result == ExchangeResult::StatementFailed;
-    return AfterExchange::KeepOpen;
+    return TransactionAction::KeepOpen;
 }
 
-bool TransactionTable::close(const TransactionId& id, ExchangeNumber exchange)
+bool TransactionTable::close(const TransactionId& id, ExchangeId exchange)
 {
     const auto entry = this->transactions.find(id);
-    if (entry == this->transactions.end() || entry->second.running != exchange)
+    if (entry == this->transactions.end() || entry->second.runningExchange != exchange)
         return false;
-    this->unreserve(entry->second.owner.team);
+    this->releaseReservation(entry->second.owner.team);
     this->transactions.erase(entry);
     return true;
 }
@@ -126,18 +127,19 @@
     for (auto entry = this->transactions.begin(); entry != this->transactions.end();) {
         auto& transaction = entry->second;
         const bool tooOld = now - transaction.openedAt >= this->options.maxAge;
-        const bool idle = !transaction.running && now - transaction.lastUsed >= this->options.idleTimeout;
+        const bool idle
+            = !transaction.runningExchange && now - transaction.lastUsed >= this->options.idleTimeout;
         if (!tooOld && !idle) {
             ++entry;
             continue;
         }
-        if (transaction.running) {
-            transaction.ending = true;
+        if (transaction.runningExchange) {
+            transaction.rollBackPending = true;
             ++entry;
             continue;
         }
         ended.push_back({ entry->first, transaction.owner.connection });
-        this->unreserve(transaction.owner.team);
+        this->releaseReservation(transaction.owner.team);
         entry = this->transactions.erase(entry);
     }
     return ended;
@@ -145,8 +147,8 @@
 
 std::vector<TransactionTable::Ended> TransactionTable::withdrawKey(const KeyId& key)
 {
-    // A withdrawn key must stop working within seconds, also for a statement that has been sent: its answer
-    // finds no transaction then, and its connection is discarded.
+    // A withdrawn key must stop working within seconds, even for a statement that was already sent: the
+    // answer then matches no transaction, and the connection is discarded.
     std::vector<Ended> ended;
     for (auto entry = this->transactions.begin(); entry != this->transactions.end();) {
         if (entry->second.owner.key != key) {
@@ -154,7 +156,7 @@
             continue;
         }
         ended.push_back({ entry->first, entry->second.owner.connection });
-        this->unreserve(entry->second.owner.team);
+        this->releaseReservation(entry->second.owner.team);
         entry = this->transactions.erase(entry);
     }
     return ended;
--- a/tests/commits/ledger_test.cpp
+++ b/tests/commits/ledger_test.cpp
@@ -10,7 +10,7 @@
 {
     return { .team = TeamName { "hospitals" },
         .request = RequestId { request },
-        .statementHash = Ledger::hashOf(statement) };
+        .statementHash = Ledger::hashStatement(statement) };
 }
 
 RowSet lookUpAnswer(const LedgerKey& key, Value answer)
@@ -23,9 +23,9 @@
 
 TEST_SUITE("ledger")
 {
-    TEST_CASE("a second attempt gets the whole first answer")
+    TEST_CASE("a recorded answer is read back unchanged")
     {
-        checkProperty("answers survive the ledger",
+        checkProperty("a recorded answer equals the answer read back",
             [](const std::vector<std::string>& columns, const std::vector<std::string>& texts,
                 std::uint64_t affected) {
                 RowSet answer { .columns = columns, .rows = {}, .affectedRows = affected };
@@ -34,34 +34,34 @@
                 const Ledger ledger { {} };
                 const auto key = keyFor({ .text = "UPDATE beds", .parameters = {} });
                 const auto recorded = ledger.recordAnswer(key, answer).parameters.at(1);
-                const auto finding = Ledger::findingIn(lookUpAnswer(key, recorded), key);
-                const auto& found = std::get<CommittedBefore>(finding).answer;
+                const auto finding = Ledger::parseLookupAnswer(lookUpAnswer(key, recorded), key);
+                const auto& found = std::get<AlreadyCommitted>(finding).answer;
                 RC_ASSERT(found.columns == answer.columns);
                 RC_ASSERT(found.rows == answer.rows);
                 RC_ASSERT(found.affectedRows == affected);
             });
     }
 
-    TEST_CASE("the same id with another statement is noticed")
+    TEST_CASE("a request id reused for another statement is a mismatch")
     {
         const auto first = keyFor({ .text = "UPDATE beds SET free = $1", .parameters = { "a" } });
         const auto second = keyFor({ .text = "UPDATE beds SET free = $1", .parameters = { "b" } });
-        const auto finding = Ledger::findingIn(lookUpAnswer(first, {}), second);
-        CHECK(std::holds_alternative<DifferentStatement>(finding));
-        CHECK(std::holds_alternative<NotInLedger>(Ledger::findingIn({}, first)));
+        const auto finding = Ledger::parseLookupAnswer(lookUpAnswer(first, {}), second);
+        CHECK(std::holds_alternative<StatementMismatch>(finding));
+        CHECK(std::holds_alternative<NotInLedger>(Ledger::parseLookupAnswer({}, first)));
     }
 
-    TEST_CASE("parameters that run together have different hashes")
+    TEST_CASE("parameter lists with the same concatenation have different hashes")
     {
         const auto hash = [](std::vector<Value> parameters) {
-            return Ledger::hashOf({ .text = "s", .parameters = parameters });
+            return Ledger::hashStatement({ .text = "s", .parameters = parameters });
         };
         CHECK(hash({ "ab", "c" }) != hash({ "a", "bc" }));
         CHECK(hash({ std::nullopt }) != hash({ "" }));
         CHECK(hash({ "a" }) == hash({ "a" }));
     }
 
-    TEST_CASE("teams that choose the same id do not meet")
+    TEST_CASE("the same request id of two teams refers to two rows")
     {
         const Ledger ledger { {} };
         auto other = keyFor({ .text = "s", .parameters = {} });
@@ -70,14 +70,14 @@
         CHECK(ledger.lookUp(other).parameters != own);
     }
 
-    TEST_CASE("an answer too large keeps its number of rows")
+    TEST_CASE("an answer over the size limit keeps only its affected row count")
     {
         const Ledger ledger { { .maxAnswerBytes = 10 } };
         const auto key = keyFor({ .text = "s", .parameters = {} });
         const RowSet answer { .columns = { "c" }, .rows = { { std::string(100, 'x') } }, .affectedRows = 1 };
         const auto recorded = ledger.recordAnswer(key, answer).parameters.at(1);
-        const auto finding = Ledger::findingIn(lookUpAnswer(key, recorded), key);
-        CHECK(std::get<CommittedBefore>(finding).answer.affectedRows == 1);
-        CHECK(std::get<CommittedBefore>(finding).answer.rows.empty());
+        const auto finding = Ledger::parseLookupAnswer(lookUpAnswer(key, recorded), key);
+        CHECK(std::get<AlreadyCommitted>(finding).answer.affectedRows == 1);
+        CHECK(std::get<AlreadyCommitted>(finding).answer.rows.empty());
     }
 }
--- a/tests/transactions/transaction_table_test.cpp
+++ b/tests/transactions/transaction_table_test.cpp
@@ -24,7 +24,7 @@
     {
         this->table.reserve(team);
         return this->table.open(
-            { .team = team, .key = key, .connection = PinnedConnection { connection } }, this->now);
+            { .team = team, .key = key, .connection = PinnedConnectionId { connection } }, this->now);
     }
 };
 
@@ -41,119 +41,122 @@
 
 } // namespace
 
-TEST_SUITE("transactions")
+TEST_SUITE("transaction table")
 {
-    TEST_CASE("an id carries the name of its home")
+    TEST_CASE("a transaction id contains the name of its owner VM")
     {
         Fixture fixture;
-        CHECK(TransactionTable::homeOf(fixture.open()) == VmName { "vm/1" });
-        CHECK(TransactionTable::homeOf(TransactionId { "nonsense" }).empty());
+        CHECK(TransactionTable::ownerVmOf(fixture.open()) == VmName { "vm/1" });
+        CHECK(TransactionTable::ownerVmOf(TransactionId { "nonsense" }).empty());
     }
 
     TEST_CASE("only the team and key that opened a transaction can use it")
     {
         Fixture fixture;
         const auto id = fixture.open();
-        const auto enter = [&](const TeamName& otherTeam, const KeyId& otherKey) {
-            return refusalOf([&] { (void)fixture.table.enter(id, otherTeam, otherKey, fixture.now); });
+        const auto beginExchange = [&](const TeamName& otherTeam, const KeyId& otherKey) {
+            return refusalOf(
+                [&] { (void)fixture.table.beginExchange(id, otherTeam, otherKey, fixture.now); });
         };
-        CHECK(enter(TeamName { "other" }, key) == RefusalReason::UnknownTransaction);
-        CHECK(enter(team, KeyId { "k2" }) == RefusalReason::UnknownTransaction);
-        CHECK(enter(team, key) == std::nullopt);
+        CHECK(beginExchange(TeamName { "other" }, key) == RefusalReason::UnknownTransaction);
+        CHECK(beginExchange(team, KeyId { "k2" }) == RefusalReason::UnknownTransaction);
+        CHECK(beginExchange(team, key) == std::nullopt);
     }
 
-    TEST_CASE("two statements of a transaction never run at once")
+    TEST_CASE("a second exchange of a transaction is refused while one is running")
     {
         Fixture fixture;
         const auto id = fixture.open();
-        const auto lease = fixture.table.enter(id, team, key, fixture.now);
-        CHECK(refusalOf([&] { (void)fixture.table.enter(id, team, key, fixture.now); })
+        const auto lease = fixture.table.beginExchange(id, team, key, fixture.now);
+        CHECK(refusalOf([&] { (void)fixture.table.beginExchange(id, team, key, fixture.now); })
             == RefusalReason::Conflict);
-        CHECK(fixture.table.leave(id, lease.exchange, ExchangeResult::Answered, fixture.now)
-            == AfterExchange::KeepOpen);
-        CHECK_FALSE(refusalOf([&] { (void)fixture.table.enter(id, team, key, fixture.now); }));
+        CHECK(fixture.table.endExchange(id, lease.exchange, ExchangeResult::Answered, fixture.now)
+            == TransactionAction::KeepOpen);
+        CHECK_FALSE(refusalOf([&] { (void)fixture.table.beginExchange(id, team, key, fixture.now); }));
     }
 
-    TEST_CASE("an answer that comes after the end of its transaction belongs to nobody")
+    TEST_CASE("an answer that arrives after its key was withdrawn is discarded")
     {
-        // A key is withdrawn while a statement runs. Its answer arrives later and must reach neither the
-        // caller with the withdrawn key nor the next transaction.
+        // A key is withdrawn while a statement runs. The later answer must reach neither the caller with the
+        // withdrawn key nor another transaction.
         Fixture fixture;
         const auto id = fixture.open();
-        const auto lease = fixture.table.enter(id, team, key, fixture.now);
+        const auto lease = fixture.table.beginExchange(id, team, key, fixture.now);
         REQUIRE(fixture.table.withdrawKey(key).size() == 1);
-        CHECK(fixture.table.leave(id, lease.exchange, ExchangeResult::Answered, fixture.now)
-            == AfterExchange::Late);
-        CHECK(refusalOf([&] { (void)fixture.table.enter(id, team, key, fixture.now); })
+        CHECK(fixture.table.endExchange(id, lease.exchange, ExchangeResult::Answered, fixture.now)
+            == TransactionAction::DiscardAnswer);
+        CHECK(refusalOf([&] { (void)fixture.table.beginExchange(id, team, key, fixture.now); })
             == RefusalReason::UnknownTransaction);
     }
 
-    TEST_CASE("an idle transaction is rolled back")
+    TEST_CASE("an idle transaction is rolled back after the idle timeout")
     {
-        // The caller has gone away without a word. Its locks would hold up all who need the same rows.
+        // The caller has disappeared without ending its transaction, whose locks would block all other users
+        // of the same rows.
         Fixture fixture;
         const auto id = fixture.open(7);
         CHECK(fixture.table.expire(fixture.now + 9s).empty());
         const auto ended = fixture.table.expire(fixture.now + 10s);
         REQUIRE(ended.size() == 1);
         CHECK(ended.front().id == id);
-        CHECK(ended.front().connection == PinnedConnection { 7 });
+        CHECK(ended.front().connection == PinnedConnectionId { 7 });
         CHECK(fixture.table.size() == 0);
     }
 
-    TEST_CASE("a transaction too old is rolled back after the exchange that runs")
+    TEST_CASE("a transaction over its maximum age is rolled back after its running exchange")
     {
         Fixture fixture;
         const auto id = fixture.open();
-        const auto lease = fixture.table.enter(id, team, key, fixture.now);
+        const auto lease = fixture.table.beginExchange(id, team, key, fixture.now);
         CHECK(fixture.table.expire(fixture.now + 60s).empty());
-        CHECK(fixture.table.leave(id, lease.exchange, ExchangeResult::Answered, fixture.now + 61s)
-            == AfterExchange::RollBack);
+        CHECK(fixture.table.endExchange(id, lease.exchange, ExchangeResult::Answered, fixture.now + 61s)
+            == TransactionAction::RollBack);
         CHECK(fixture.table.size() == 0);
     }
 
-    TEST_CASE("a failed statement is remembered until the end")
+    TEST_CASE("a transaction stays failed after a failed statement")
     {
-        // The database answers COMMIT of an aborted transaction with success and rolls back. A caller would
-        // take its reservation for kept.
+        // The database answers COMMIT of an aborted transaction with success and rolls back. The caller would
+        // assume that its reservation was committed.
         Fixture fixture;
         const auto id = fixture.open();
-        auto lease = fixture.table.enter(id, team, key, fixture.now);
-        (void)fixture.table.leave(id, lease.exchange, ExchangeResult::StatementFailed, fixture.now);
-        lease = fixture.table.enter(id, team, key, fixture.now);
+        auto lease = fixture.table.beginExchange(id, team, key, fixture.now);
+        (void)fixture.table.endExchange(id, lease.exchange, ExchangeResult::StatementFailed, fixture.now);
+        lease = fixture.table.beginExchange(id, team, key, fixture.now);
         CHECK(lease.failed);
-        (void)fixture.table.leave(id, lease.exchange, ExchangeResult::Answered, fixture.now);
-        CHECK(fixture.table.enter(id, team, key, fixture.now).failed);
+        (void)fixture.table.endExchange(id, lease.exchange, ExchangeResult::Answered, fixture.now);
+        CHECK(fixture.table.beginExchange(id, team, key, fixture.now).failed);
     }
 
-    TEST_CASE("one team cannot pin all connections")
+    TEST_CASE("a team cannot open more transactions than its limit")
     {
         Fixture fixture;
         (void)fixture.open();
         (void)fixture.open();
         CHECK(refusalOf([&] { fixture.table.reserve(team); }) == RefusalReason::Overloaded);
-        CHECK(fixture.table.mayOpen(TeamName { "other" }));
+        CHECK(fixture.table.canOpen(TeamName { "other" }));
     }
 
-    TEST_CASE("statements of two transactions are never mixed")
+    TEST_CASE("no exchange uses the connection of another transaction")
     {
-        // Whatever comes when: begins, statements, ends, late answers, time-outs and withdrawn keys. A user
-        // would see a bed reserved by somebody else's transaction, or read somebody else's answer.
+        // Random sequences of begins, statements, ends, late answers, timeouts and withdrawn keys. If
+        // exchanges were mixed, a statement would run in another user's transaction, or a user would read
+        // another's answer.
         checkProperty("one connection serves one transaction, one exchange at a time", [] {
             struct Model {
-                PinnedConnection connection {};
+                PinnedConnectionId connection {};
                 KeyId key;
-                std::optional<ExchangeNumber> running;
+                std::optional<ExchangeId> running;
             };
-            struct Sent {
+            struct SentExchange {
                 TransactionId id;
-                ExchangeNumber exchange {};
+                ExchangeId exchange {};
             };
             RandomSource random { 1 };
             TransactionTable table { { .vm = VmName { "vm" }, .maxOpen = 4, .maxOpenPerTeam = 4 }, random };
             std::map<TransactionId, Model> open;
             std::vector<TransactionId> everOpened;
-            std::vector<Sent> sent;
+            std::vector<SentExchange> sentExchanges;
             std::uint64_t lastConnection = 0;
             Instant now {};
             const auto forget = [&](const std::vector<TransactionTable::Ended>& ended) {
@@ -165,42 +168,44 @@
             const int steps = *rc::gen::inRange(0, 80);
             for (int step = 0; step < steps; ++step) {
                 now += std::chrono::milliseconds { *rc::gen::inRange(0, 3000) };
-                const int what = *rc::gen::inRange(0, 10);
-                if (what < 2 && table.mayOpen(team)) {
-                    const KeyId owner { what == 0 ? "k0" : "k1" };
+                const int action = *rc::gen::inRange(0, 10);
+                if (action < 2 && table.canOpen(team)) {
+                    const KeyId owner { action == 0 ? "k0" : "k1" };
                     table.reserve(team);
                     const auto id = table.open(
-                        { .team = team, .key = owner, .connection = PinnedConnection { ++lastConnection } },
+                        { .team = team, .key = owner, .connection = PinnedConnectionId { ++lastConnection } },
                         now);
                     RC_ASSERT(
-                        open.emplace(id, Model { PinnedConnection { lastConnection }, owner, {} }).second);
+                        open.emplace(id, Model { PinnedConnectionId { lastConnection }, owner, {} }).second);
                     everOpened.push_back(id);
-                } else if (what < 6 && !everOpened.empty()) {
+                } else if (action < 6 && !everOpened.empty()) {
                     const auto id = everOpened[*rc::gen::inRange<std::size_t>(0, everOpened.size())];
                     const KeyId caller { *rc::gen::arbitrary<bool>() ? "k0" : "k1" };
                     try {
-                        const auto lease = table.enter(id, team, caller, now);
+                        const auto lease = table.beginExchange(id, team, caller, now);
                         auto& model = open.at(id);
                         RC_ASSERT(model.key == caller);
                         RC_ASSERT(!model.running);
                         RC_ASSERT(lease.connection == model.connection);
                         model.running = lease.exchange;
-                        sent.push_back({ id, lease.exchange });
+                        sentExchanges.push_back({ id, lease.exchange });
                     } catch (const RequestError& error) {
                         RC_ASSERT(error.outcome() == Outcome::NotRun);
                     }
-                } else if (what < 8 && !sent.empty()) {
-                    // Answers come in any order, and some twice.
-                    const auto answer = sent[*rc::gen::inRange<std::size_t>(0, sent.size())];
+                } else if (action < 8 && !sentExchanges.empty()) {
+                    // Answers arrive in any order, and some arrive twice.
+                    const auto answer
+                        = sentExchanges[*rc::gen::inRange<std::size_t>(0, sentExchanges.size())];
                     const auto model = open.find(answer.id);
-                    const bool due = model != open.end() && model->second.running == answer.exchange;
-                    const auto after = table.leave(answer.id, answer.exchange, ExchangeResult::Answered, now);
-                    RC_ASSERT((after == AfterExchange::Late) == !due);
-                    if (after == AfterExchange::KeepOpen)
+                    const bool expected = model != open.end() && model->second.running == answer.exchange;
+                    const auto after
+                        = table.endExchange(answer.id, answer.exchange, ExchangeResult::Answered, now);
+                    RC_ASSERT((after == TransactionAction::DiscardAnswer) == !expected);
+                    if (after == TransactionAction::KeepOpen)
                         model->second.running.reset();
-                    if (after == AfterExchange::RollBack)
+                    if (after == TransactionAction::RollBack)
                         open.erase(answer.id);
-                } else if (what == 8) {
+                } else if (action == 8) {
                     forget(table.expire(now));
                 } else {
                     forget(table.withdrawKey(KeyId { "k0" }));
