--- a/include/cyclamendrift/siblings/sibling_client.h
+++ b/include/cyclamendrift/siblings/sibling_client.h
@@ -51,7 +51,7 @@
         /// Longest body of a call or an answer.
         std::size_t maxMessageBytes = std::size_t { 32 } << 20U;
         /// Calls that may be open to one sibling at a time; further ones end with Unreachable.
-        std::size_t maxCalls = 4096;
+        std::size_t maxConcurrentCalls = 4096;
     };
 
     SiblingClient(const asio::any_io_executor& executor, Options options);
--- a/include/cyclamendrift/siblings/sibling_error.h
+++ b/include/cyclamendrift/siblings/sibling_error.h
@@ -15,7 +15,7 @@
         /// No stream was opened; the sibling has not seen the call.
         Unreachable,
         /// The stream was cut or timed out after the call was sent; its outcome is unknown.
-        Lost,
+        OutcomeUnknown,
         /// The other end did not prove that it is a sibling.
         NotAuthenticated,
         /// The sibling answered something that breaks the protocol.
--- a/include/cyclamendrift/siblings/sibling_server.h
+++ b/include/cyclamendrift/siblings/sibling_server.h
@@ -44,7 +44,7 @@
         /// Longest body of a call or an answer.
         std::size_t maxMessageBytes = std::size_t { 32 } << 20U;
         /// Calls that one sibling may have open at a time; its further ones wait at its side.
-        std::uint32_t maxStreams = 256;
+        std::uint32_t maxConcurrentStreams = 256;
         std::size_t maxConnections = 8192;
     };
 
--- a/src/proxy/home_router.cpp
+++ b/src/proxy/home_router.cpp
@@ -63,7 +63,7 @@
     case SiblingError::Kind::Unreachable:
     case SiblingError::Kind::NotAuthenticated:
         return { unreachable(error.what()), true };
-    case SiblingError::Kind::Lost:
+    case SiblingError::Kind::OutcomeUnknown:
     case SiblingError::Kind::BadAnswer:
         break;
     }
--- a/src/siblings/client_link.cpp
+++ b/src/siblings/client_link.cpp
@@ -24,7 +24,7 @@
 /// the call can have taken effect; afterwards nobody here can know.
 [[noreturn]] void failUnanswered(const ClientStream& stream, const std::string& message)
 {
-    fail(stream.sent ? SiblingError::Kind::Lost : SiblingError::Kind::Unreachable, message);
+    fail(stream.sent ? SiblingError::Kind::OutcomeUnknown : SiblingError::Kind::Unreachable, message);
 }
 
 void checkWhole(const ClientStream& stream)
@@ -81,7 +81,7 @@
 {
     if (message.body.size() > this->options.maxMessageBytes)
         fail(SiblingError::Kind::Unreachable, "the call is too long to be sent");
-    if (!this->takesStreams() || this->streams.size() >= this->options.maxCalls)
+    if (!this->takesStreams() || this->streams.size() >= this->options.maxConcurrentCalls)
         fail(SiblingError::Kind::Unreachable, "no further call can be opened to the sibling");
     std::vector<HeaderField> fields { { ":method", "POST" }, { ":scheme", "http" },
         { ":authority", "sibling" }, { ":path", std::move(message.method) },
--- a/src/siblings/client_link.h
+++ b/src/siblings/client_link.h
@@ -41,7 +41,7 @@
     struct Options {
         Http2Link::Options link;
         std::size_t maxMessageBytes = 0;
-        std::size_t maxCalls = 0;
+        std::size_t maxConcurrentCalls = 0;
         std::function<void()> onClosed;
     };
     struct Message {
--- a/src/siblings/http2_link.cpp
+++ b/src/siblings/http2_link.cpp
@@ -154,7 +154,8 @@
 void Http2Link::start()
 {
     const std::array settings {
-        nghttp2_settings_entry { NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, this->options.maxStreams },
+        nghttp2_settings_entry {
+            NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, this->options.maxConcurrentStreams },
         nghttp2_settings_entry { NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, streamWindow },
         nghttp2_settings_entry { NGHTTP2_SETTINGS_ENABLE_PUSH, 0 },
     };
--- a/src/siblings/http2_link.h
+++ b/src/siblings/http2_link.h
@@ -34,7 +34,7 @@
     enum class Side : std::uint8_t { Client, Server };
     struct Options {
         Side side = Side::Client;
-        std::uint32_t maxStreams = 0;
+        std::uint32_t maxConcurrentStreams = 0;
         Duration pingInterval {};
         Duration pingTimeout {};
         /// Closes the link when no stream was open for so long; zero for never.
--- a/src/siblings/sibling_client.cpp
+++ b/src/siblings/sibling_client.cpp
@@ -217,7 +217,7 @@
     linkOptions.link.pingTimeout = self->options.pingTimeout;
     linkOptions.link.idleTimeout = self->options.idleTimeout;
     linkOptions.maxMessageBytes = self->options.maxMessageBytes;
-    linkOptions.maxCalls = self->options.maxCalls;
+    linkOptions.maxConcurrentCalls = self->options.maxConcurrentCalls;
     linkOptions.onClosed = [weak = self->weak_from_this(), key] {
         if (const auto state = weak.lock())
             state->forget(key);
@@ -229,7 +229,7 @@
         co_await link->authenticate(self->secretKey, deadline);
     } catch (const SiblingError& error) {
         // Nothing but the greeting was sent, so for the calls that wait the sibling is just out of reach.
-        const bool cut = error.kind() == SiblingError::Kind::Lost;
+        const bool cut = error.kind() == SiblingError::Kind::OutcomeUnknown;
         const auto kind = cut ? SiblingError::Kind::Unreachable : error.kind();
         failure = std::make_exception_ptr(SiblingError { kind, error.what() });
     }
--- a/src/siblings/sibling_server.cpp
+++ b/src/siblings/sibling_server.cpp
@@ -70,7 +70,7 @@
         const auto linkExecutor = socket.get_executor();
         ServerLink::Options linkOptions;
         linkOptions.link.side = Http2Link::Side::Server;
-        linkOptions.link.maxStreams = this->options.maxStreams;
+        linkOptions.link.maxConcurrentStreams = this->options.maxConcurrentStreams;
         linkOptions.link.pingInterval = this->options.pingInterval;
         linkOptions.link.pingTimeout = this->options.pingTimeout;
         linkOptions.secretKey = this->secretKey;
--- a/standins/virtual_fleet.cpp
+++ b/standins/virtual_fleet.cpp
@@ -12,7 +12,7 @@
 
 std::exception_ptr lost()
 {
-    return std::make_exception_ptr(SiblingError { SiblingError::Kind::Lost, "no answer in time" });
+    return std::make_exception_ptr(SiblingError { SiblingError::Kind::OutcomeUnknown, "no answer in time" });
 }
 
 std::pair<std::size_t, std::size_t> ordered(std::size_t left, std::size_t right)
--- a/tests/proxy/home_router_test.cpp
+++ b/tests/proxy/home_router_test.cpp
@@ -108,7 +108,7 @@
     // home, the reservation could run twice; called not run, its caller would reserve again.
     TEST_CASE("a write that was lost on its way is not sent again and its outcome is unknown")
     {
-        const auto result = forward(Write {}, failAtFirst(SiblingError::Kind::Lost));
+        const auto result = forward(Write {}, failAtFirst(SiblingError::Kind::OutcomeUnknown));
         CHECK(result.called == firstAlone);
         REQUIRE(result.refusal);
         CHECK(result.refusal->outcome() == Outcome::Unknown);
@@ -119,7 +119,7 @@
     TEST_CASE("a read and an idempotent write go on to the second home")
     {
         for (const Access access : { Access { SessionRead {} }, Access { Write { .idempotent = true } } }) {
-            const auto result = forward(access, failAtFirst(SiblingError::Kind::Lost));
+            const auto result = forward(access, failAtFirst(SiblingError::Kind::OutcomeUnknown));
             CHECK(result.called == both);
             REQUIRE(result.answer);
             CHECK(result.answer->seen.position == LogPosition { 7 });
--- a/tests/siblings/sibling_test.cpp
+++ b/tests/siblings/sibling_test.cpp
@@ -211,7 +211,7 @@
             deadline = std::chrono::steady_clock::now() + wait;
             result = call(deadline);
         }
-        CHECK(result == SiblingError::Kind::Lost);
+        CHECK(result == SiblingError::Kind::OutcomeUnknown);
         CHECK(std::chrono::steady_clock::now() >= deadline);
     }
 
@@ -274,7 +274,7 @@
             passed += bytes.size();
             return passed < 50'000;
         };
-        CHECK(kindOf([&] { pair.call("list"); }) == SiblingError::Kind::Lost);
+        CHECK(kindOf([&] { pair.call("list"); }) == SiblingError::Kind::OutcomeUnknown);
         passed = 0;
         pair.relay.toClient = [](std::string&) { return true; };
         CHECK(pair.call("list").size() == 100'000);
@@ -310,7 +310,7 @@
         const auto deadline = std::chrono::steady_clock::now() + 1h;
         CHECK(kindOf([&] {
             pair.call({ .method = "Echo", .body = "x", .deadline = deadline, .traceparent = "" });
-        }) == SiblingError::Kind::Lost);
+        }) == SiblingError::Kind::OutcomeUnknown);
         CHECK(pair.call("over a new connection") == "over a new connection");
     }
 
