--- a/include/cyclamendrift/siblings/sibling_client.h
+++ b/include/cyclamendrift/siblings/sibling_client.h
@@ -14,43 +14,45 @@
 
 namespace cyclamendrift {
 
-/// Where a sibling proxy listens for its siblings.
+/// VM and endpoint at which a sibling proxy accepts calls.
 struct SiblingAddress {
     VmName vm;
+    /// IP address; host names are not resolved.
     std::string host;
     std::uint16_t port = 0;
 };
 
-/// One call to a sibling proxy.
+/// Outgoing call to a sibling proxy.
 struct SiblingCall {
-    /// Method name, as in "Execute".
+    /// Method name without a leading slash, such as "Execute".
     std::string method;
-    /// Protobuf body.
+    /// Serialized protobuf message.
     std::string body;
     Instant deadline;
-    /// W3C trace context, passed on as it is; may be empty.
+    /// W3C trace context, forwarded unchanged; may be empty.
     std::string traceparent;
 };
 
-/// Calls sibling proxies over HTTP/2 streams, with one connection to each that is opened when first needed.
-/// Both ends prove that they know the secret; it is never sent itself. May be destroyed on any thread; calls
-/// still open then end with SiblingError.
+/// Client for calls to sibling proxies over HTTP/2, with one connection per sibling that is opened on first
+/// use. Both ends prove that they know the shared secret without sending it. May be destroyed on any thread;
+/// calls that are open at that time throw SiblingError.
 class SiblingClient {
 public:
     struct Options {
+        /// Name of this VM, sent as the caller of each call.
         VmName self;
-        /// Shared secret of all proxies, from the settings.
+        /// Secret from the settings that all proxies share.
         std::string secret;
         Duration connectTimeout = std::chrono::seconds { 1 };
-        /// While calls are open, a PING frame goes out this often.
+        /// A connection with open calls sends a PING frame after receiving nothing for this time.
         Duration pingInterval = std::chrono::milliseconds { 500 };
-        /// A connection that sends nothing for so long after a PING is taken for silent and closed.
+        /// A connection that receives nothing for this time after a PING is closed as unresponsive.
         Duration pingTimeout = std::chrono::seconds { 2 };
-        /// A connection without calls is closed after this time.
+        /// A connection without open calls is closed after this time.
         Duration idleTimeout = std::chrono::minutes { 1 };
-        /// Longest body of a call or an answer.
+        /// Maximum size of the body of a call or an answer.
         std::size_t maxMessageBytes = std::size_t { 32 } << 20U;
-        /// Calls that may be open to one sibling at a time; further ones end with Unreachable.
+        /// Maximum number of open calls to one sibling; further calls fail with Unreachable.
         std::size_t maxConcurrentCalls = 4096;
     };
 
@@ -59,8 +61,9 @@
     SiblingClient(const SiblingClient&) = delete;
     SiblingClient& operator=(const SiblingClient&) = delete;
 
-    /// Calls a method and returns the body of its answer. Throws RequestError when the sibling refused,
-    /// SiblingError otherwise. The call may be made on any thread; it resumes on its caller's executor.
+    /// Calls a method and returns the body of its answer. Throws RequestError when the sibling refused the
+    /// call and SiblingError on any other failure. May be called on any thread; resumes on its caller's
+    /// executor.
     ///
     ///     auto body = co_await client.call(address, { .method = "Heartbeat", .body = text, .deadline = soon
     ///     });
--- a/include/cyclamendrift/siblings/sibling_error.h
+++ b/include/cyclamendrift/siblings/sibling_error.h
@@ -7,18 +7,18 @@
 
 namespace cyclamendrift {
 
-/// What went wrong between this process and a sibling proxy. A RequestError that the sibling answered with is
-/// thrown as that RequestError and not as this.
+/// Failure of a call to a sibling proxy. A RequestError sent by the sibling is thrown as that RequestError
+/// instead.
 class SiblingError : public Error {
 public:
     enum class Kind : std::uint8_t {
-        /// No stream was opened; the sibling has not seen the call.
+        /// The sibling did not run the call: no complete call was sent, or the sibling refused its stream.
         Unreachable,
-        /// The stream was cut or timed out after the call was sent; its outcome is unknown.
+        /// The connection failed or the deadline passed after the call was sent; the call may have run.
         OutcomeUnknown,
-        /// The other end did not prove that it is a sibling.
+        /// One end did not prove that it knows the shared secret.
         NotAuthenticated,
-        /// The sibling answered something that breaks the protocol.
+        /// The answer violates the protocol, is too long or has a wrong authentication code.
         BadAnswer,
     };
 
@@ -28,7 +28,7 @@
     {
     }
 
-    /// What went wrong.
+    /// Category of the failure.
     [[nodiscard]] Kind kind() const noexcept { return this->errorKind; }
 
 private:
--- a/include/cyclamendrift/siblings/sibling_server.h
+++ b/include/cyclamendrift/siblings/sibling_server.h
@@ -15,7 +15,7 @@
 
 namespace cyclamendrift {
 
-/// A call that a sibling proxy made.
+/// Call received from a sibling proxy.
 struct IncomingSiblingCall {
     VmName from;
     std::string method;
@@ -24,27 +24,32 @@
     std::string traceparent;
 };
 
-/// Serves calls of sibling proxies over HTTP/2 streams. Calls of those that do not know the shared secret are
-/// refused. A handler runs on the executor once its call has arrived whole; when the caller goes away
-/// meanwhile it runs on and its answer is dropped. May be destroyed on any thread.
+/// Server for calls of sibling proxies over HTTP/2. Calls from peers that do not know the shared secret are
+/// rejected. The handler runs on the executor after the whole call has arrived. If the caller disconnects,
+/// the handler still runs to its end and its answer is dropped. May be destroyed on any thread.
 class SiblingServer {
 public:
-    /// Answers a call with the body to return; a RequestError that it throws reaches the calling sibling.
+    /// Returns the body of the answer to a call. A RequestError that it throws is sent to the calling
+    /// sibling.
     using Handler = std::function<asio::awaitable<std::string>(IncomingSiblingCall)>;
 
     struct Options {
+        /// IP address to listen on.
         std::string host;
-        /// Port on that IP address; 0 for any free one.
+        /// Port to listen on; 0 selects a free port.
         std::uint16_t port = 0;
+        /// Secret from the settings that all proxies share.
         std::string secret;
         Handler handler;
+        /// A connection sends a PING frame after receiving nothing for this time.
         Duration pingInterval = std::chrono::seconds { 5 };
-        /// A connection that sends nothing for so long after a PING is taken for silent and closed.
+        /// A connection that receives nothing for this time after a PING is closed as unresponsive.
         Duration pingTimeout = std::chrono::seconds { 10 };
-        /// Longest body of a call or an answer.
+        /// Maximum size of the body of a call or an answer.
         std::size_t maxMessageBytes = std::size_t { 32 } << 20U;
-        /// Calls that one sibling may have open at a time; its further ones wait at its side.
+        /// Maximum number of open calls per connection; further calls wait in the calling sibling.
         std::uint32_t maxConcurrentStreams = 256;
+        /// Further connections are closed when they are accepted.
         std::size_t maxConnections = 8192;
     };
 
@@ -53,10 +58,10 @@
     SiblingServer(const SiblingServer&) = delete;
     SiblingServer& operator=(const SiblingServer&) = delete;
 
-    /// The port that it listens on.
+    /// Port that the server listens on.
     [[nodiscard]] std::uint16_t port() const noexcept;
 
-    /// Takes no further connections or streams; those open run to their end.
+    /// Stops accepting connections and streams; open streams are completed.
     void drain();
 
 private:
--- a/src/siblings/client_connection.cpp
+++ b/src/siblings/client_connection.cpp
@@ -20,8 +20,8 @@
     throw SiblingError { kind, message };
 }
 
-/// A handler runs only on a call that has arrived to its end. So as long as the end was not sent, nothing of
-/// the call can have taken effect; afterwards nobody here can know.
+/// The sibling runs a handler only after it has received the end of the call. Until the end is sent the call
+/// cannot have taken effect; after that its outcome is unknown to this process.
 [[noreturn]] void throwUnanswered(const ClientStream& stream, const std::string& message)
 {
     throwSiblingError(
@@ -31,15 +31,16 @@
 void requireCompleteAnswer(const ClientStream& stream)
 {
     if (!stream.closed)
-        throwUnanswered(stream, "the sibling did not answer in time");
+        throwUnanswered(stream, "the sibling did not answer before the deadline");
     if (stream.bodyTooLong)
-        throwSiblingError(SiblingError::Kind::BadAnswer, "the sibling's answer is too long");
+        throwSiblingError(
+            SiblingError::Kind::BadAnswer, "the sibling's answer exceeds the maximum message size");
     if (stream.errorCode == NGHTTP2_REFUSED_STREAM)
-        throwSiblingError(SiblingError::Kind::Unreachable, "the sibling took no further calls");
+        throwSiblingError(SiblingError::Kind::Unreachable, "the sibling refused the stream");
     if (stream.errorCode == NGHTTP2_PROTOCOL_ERROR)
-        throwSiblingError(SiblingError::Kind::BadAnswer, "the sibling's answer breaks HTTP/2");
+        throwSiblingError(SiblingError::Kind::BadAnswer, "the sibling's answer violates HTTP/2");
     if (!stream.endReceived)
-        throwUnanswered(stream, "the connection to the sibling was cut");
+        throwUnanswered(stream, "the connection to the sibling was lost before the answer was complete");
 }
 
 } // namespace
@@ -59,8 +60,8 @@
     hello.fields.push_back({ std::string { protocol::nonceField }, nonce });
     const auto answer = co_await this->exchange(std::move(hello), deadline);
     if (!secretKey.verify(answer->mac, { protocol::helloLabel, nonce, answer->nonce }))
-        throwSiblingError(
-            SiblingError::Kind::NotAuthenticated, "the other end does not know the secret of the siblings");
+        throwSiblingError(SiblingError::Kind::NotAuthenticated,
+            "the other end did not prove that it knows the shared secret");
     this->connectionKey = secretKey.derive(nonce, answer->nonce);
 }
 
@@ -82,9 +83,10 @@
 std::shared_ptr<ClientStream> ClientConnection::submit(Message message)
 {
     if (message.body.size() > this->options.maxMessageBytes)
-        throwSiblingError(SiblingError::Kind::Unreachable, "the call is too long to be sent");
+        throwSiblingError(SiblingError::Kind::Unreachable, "the call exceeds the maximum message size");
     if (!this->canOpenStream() || this->streams.size() >= this->options.maxConcurrentCalls)
-        throwSiblingError(SiblingError::Kind::Unreachable, "no further call can be opened to the sibling");
+        throwSiblingError(
+            SiblingError::Kind::Unreachable, "the connection to the sibling accepts no further calls");
     std::vector<HeaderField> fields { { ":method", "POST" }, { ":scheme", "http" },
         { ":authority", "sibling" }, { ":path", std::move(message.method) },
         { "content-length", std::to_string(message.body.size()) } };
@@ -92,7 +94,8 @@
     auto stream = std::make_shared<ClientStream>(this->executor());
     stream->id = this->submitRequest(fields, std::move(message.body));
     if (stream->id < 0)
-        throwSiblingError(SiblingError::Kind::Unreachable, "the connection has no numbers left for calls");
+        throwSiblingError(
+            SiblingError::Kind::Unreachable, "the connection to the sibling cannot open another stream");
     this->streams[stream->id] = stream;
     return stream;
 }
--- a/src/siblings/client_connection.h
+++ b/src/siblings/client_connection.h
@@ -12,7 +12,7 @@
 
 namespace cyclamendrift {
 
-/// One call on its way, and what has come back of it.
+/// Outgoing call and the parts of its answer that have been received.
 struct ClientStream {
     explicit ClientStream(const asio::any_io_executor& executor)
         : completionTimer(executor)
@@ -26,16 +26,16 @@
     std::string mac;
     std::string body;
     std::uint32_t errorCode = 0;
-    /// The other end may have got the whole call.
+    /// The end of the call was written, so the other end may have received the whole call.
     bool endSent = false;
-    /// The answer has come to its end.
+    /// The end of the answer was received.
     bool endReceived = false;
     bool closed = false;
     bool bodyTooLong = false;
     asio::steady_timer completionTimer;
 };
 
-/// The calling end of a connection.
+/// Client end of a connection between siblings.
 class ClientConnection final : public Http2Connection {
 public:
     struct Options {
@@ -52,13 +52,14 @@
 
     ClientConnection(asio::ip::tcp::socket socket, Options options);
 
-    /// Has the other end prove that it knows the secret; throws SiblingError.
+    /// Requires the other end to prove that it knows the secret; throws SiblingError if it does not.
     [[nodiscard]] asio::awaitable<void> authenticate(MessageKey secretKey, Instant deadline);
 
-    /// Sends a message and waits until its stream has closed; throws SiblingError unless the answer is whole.
+    /// Sends a message and waits until its stream is closed; throws SiblingError unless the answer is
+    /// complete.
     [[nodiscard]] asio::awaitable<std::shared_ptr<ClientStream>> exchange(Message message, Instant deadline);
 
-    /// The number that the next message will get.
+    /// HTTP/2 stream id that the next message will use.
     [[nodiscard]] StreamId upcomingStreamId() const { return this->nextStreamId(); }
     [[nodiscard]] const MessageKey& key() const noexcept { return this->connectionKey; }
 
--- a/src/siblings/http2_connection.cpp
+++ b/src/siblings/http2_connection.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-// Calls between siblings are some hundred bytes. A VM keeps some dozens of links, and each holds these
-// buffers for as long as it lives: with 64 KB to read into, 140 links took 9 MB.
+// Calls between siblings have a few hundred bytes. A VM has dozens of connections, and each keeps its buffers
+// while it is open: 140 connections with read buffers of 64 KB took 9 MB.
 constexpr std::size_t readBufferBytes = std::size_t { 4 } << 10U;
 constexpr std::size_t writeBatchBytes = std::size_t { 256 } << 10U;
-// What a rare large message leaves allocated beyond this is given back.
+// A buffer that grew beyond this for a rare large message is released after the write.
 constexpr std::size_t maxIdleWriteBufferBytes = std::size_t { 4 } << 10U;
 constexpr std::uint32_t streamWindowBytes = 1U << 20U;
 constexpr std::int32_t connectionWindowBytes = 16 << 20;
@@ -46,7 +46,7 @@
 
 } // namespace
 
-/// What nghttp2 calls back. An exception must not pass through its C code, so each failure becomes the
+/// Callbacks for nghttp2. Exceptions must not propagate through its C code, so each one is turned into the
 /// callback error that ends the connection.
 struct Http2Connection::Callbacks {
     static Http2Connection& connection(void* data) { return *static_cast<Http2Connection*>(data); }
@@ -273,7 +273,8 @@
 
 void Http2Connection::flush()
 {
-    // nghttp2 must not be asked for bytes to send from within its own callbacks; who called it flushes then.
+    // nghttp2 must not be asked for output from within its callbacks; the function that called nghttp2
+    // flushes afterwards.
     if (this->closed || this->insideNghttp2 || this->writeInProgress)
         return;
     this->write();
@@ -294,8 +295,8 @@
     this->insideNghttp2 = false;
     const bool sessionActive
         = nghttp2_session_want_read(this->session) != 0 || nghttp2_session_want_write(this->session) != 0;
-    // A draining end leaves closing to the other one: closed with a call unread on it, TCP would throw away
-    // the GOAWAY on its way, and the caller could not tell that its call was refused.
+    // A draining end lets the other end close the connection. If it closed the socket with unread input, TCP
+    // would discard the GOAWAY in transit and the caller could not tell that its call was refused.
     if (size < 0 || (this->writeBuffer.empty() && !sessionActive && !this->draining)) {
         this->close();
         return;
@@ -327,10 +328,11 @@
     });
 }
 
-/// A connection that something on the way has lost track of never fails by itself; calls on it would wait for
-/// their deadlines, one after the other. A slow answer is no such sign, so the other end's HTTP/2 layer is
-/// asked, which answers a PING whatever its handlers do. Time is counted in ticks of this timer and not read
-/// off a clock: a process that was itself paused would otherwise blame every sibling on waking up.
+/// A connection whose state was dropped by a device in between reports no error, so each call on it would
+/// wait for its own deadline. A slow answer does not show this, therefore the check sends a PING, which the
+/// other end's HTTP/2 layer answers regardless of its handlers. Time is counted in intervals of this timer
+/// instead of read from a clock: otherwise a process that was paused would close the connections to all
+/// siblings when it resumes.
 void Http2Connection::checkLiveness()
 {
     const auto checkInterval = this->options.pingTimeout / checksPerPingTimeout;
--- a/src/siblings/http2_connection.h
+++ b/src/siblings/http2_connection.h
@@ -20,7 +20,7 @@
 
 namespace cyclamendrift {
 
-/// One field of a head of a message.
+/// HTTP/2 header field.
 struct HeaderField {
     std::string name;
     std::string value;
@@ -28,7 +28,7 @@
 
 using StreamId = std::int32_t;
 
-/// One HTTP/2 connection between siblings. Used on one strand.
+/// HTTP/2 connection between two siblings. Must be used on one strand.
 class Http2Connection : public std::enable_shared_from_this<Http2Connection> {
 public:
     enum class Side : std::uint8_t { Client, Server };
@@ -37,7 +37,7 @@
         std::uint32_t maxConcurrentStreams = 0;
         Duration pingInterval {};
         Duration pingTimeout {};
-        /// Closes the link when no stream was open for so long; zero for never.
+        /// Closes the connection after this time without an open stream; zero disables the limit.
         Duration idleTimeout {};
     };
 
@@ -45,11 +45,12 @@
     Http2Connection(const Http2Connection&) = delete;
     Http2Connection& operator=(const Http2Connection&) = delete;
 
-    /// Begins to read and to watch the other end.
+    /// Starts reading and the liveness checks of the other end.
     void start();
-    /// Ends the connection at once.
+    /// Closes the connection at once.
     void close();
-    /// Tells the other end to open no further streams; the link closes when the last one has ended.
+    /// Sends GOAWAY so that the other end opens no further streams. The other end closes the connection; this
+    /// end does so itself only after pingTimeout without an open stream.
     void drain();
     [[nodiscard]] bool isClosed() const noexcept { return this->closed; }
     [[nodiscard]] bool canOpenStream() const;
@@ -57,21 +58,21 @@
 protected:
     Http2Connection(asio::ip::tcp::socket socket, const Options& options);
 
-    // What happens on the link. A stream's end says that the other end has sent all of it.
+    // Events of the connection. onEnd() means that the other end has sent the whole message of a stream.
     virtual void onHeader(StreamId stream, std::string_view name, std::string_view value) = 0;
     virtual void onData(StreamId stream, std::string_view data) = 0;
     virtual void onEnd(StreamId stream) = 0;
-    /// All of an outgoing message went to the socket's buffer.
+    /// The last frame of an outgoing message was copied to the write buffer.
     virtual void onSent(StreamId stream) = 0;
     virtual void onStreamClosed(StreamId stream, std::uint32_t errorCode) = 0;
     virtual void onConnectionClosed() = 0;
 
     [[nodiscard]] StreamId nextStreamId() const;
-    /// Begins a stream; returns its number or a negative error of nghttp2.
+    /// Opens a stream; returns its id or a negative nghttp2 error code.
     StreamId submitRequest(std::span<const HeaderField> fields, std::string body);
     void submitResponse(StreamId stream, std::span<const HeaderField> fields, std::string body);
     void resetStream(StreamId stream, std::uint32_t errorCode);
-    /// Sends what is waiting to be sent.
+    /// Writes pending frames to the socket unless a write is in progress.
     void flush();
     [[nodiscard]] asio::any_io_executor executor() { return this->socket.get_executor(); }
 
--- a/src/siblings/message_key.cpp
+++ b/src/siblings/message_key.cpp
@@ -12,7 +12,7 @@
 void initialiseSodium()
 {
     if (sodium_init() < 0)
-        throw std::runtime_error { "libsodium cannot be initialised" };
+        throw std::runtime_error { "libsodium could not be initialised" };
 }
 
 template <std::size_t size> std::string hexOf(const std::array<unsigned char, size>& bytes)
@@ -51,8 +51,8 @@
     return mac.size() == expected.size() && sodium_memcmp(mac.data(), expected.data(), expected.size()) == 0;
 }
 
-/// Each field goes in with its length before it; otherwise "ab" + "c" and "a" + "bc" would have one code, and
-/// a method's name could be stretched into its body.
+/// Each field is hashed with its length before it. Otherwise "ab" + "c" and "a" + "bc" would have the same
+/// MAC, and the boundary between a method name and its body could be moved.
 MessageKey::Bytes MessageKey::digest(std::initializer_list<std::string_view> fields) const
 {
     crypto_generichash_state state;
--- a/src/siblings/message_key.h
+++ b/src/siblings/message_key.h
@@ -9,21 +9,21 @@
 
 namespace cyclamendrift {
 
-/// A key that messages between siblings are authenticated with (keyed BLAKE2b).
+/// Key that authenticates messages between siblings (keyed BLAKE2b).
 ///
 ///     const auto code = key.computeMac({ "request", method, body });
 class MessageKey {
 public:
-    /// The key that follows from the secret in the settings.
+    /// Derives the key from the secret in the settings.
     [[nodiscard]] static MessageKey fromSecret(std::string_view secret);
 
-    /// A key for one connection, from the random numbers of both its ends.
+    /// Derives the key of one connection from the nonces of both ends.
     [[nodiscard]] MessageKey derive(std::string_view clientNonce, std::string_view serverNonce) const;
 
-    /// Authentication code over fields, in hexadecimal.
+    /// Computes the message authentication code (MAC) of the fields, in hexadecimal.
     [[nodiscard]] std::string computeMac(std::initializer_list<std::string_view> fields) const;
 
-    /// Whether a code is that of the fields; takes the same time wherever the two differ.
+    /// Returns whether the MAC is that of the fields; compares in constant time.
     [[nodiscard]] bool verify(std::string_view mac, std::initializer_list<std::string_view> fields) const;
 
 private:
@@ -34,7 +34,7 @@
     Bytes key {};
 };
 
-/// 32 random bytes in hexadecimal.
+/// Returns 32 random bytes in hexadecimal.
 [[nodiscard]] std::string makeNonce();
 
 } // namespace cyclamendrift
--- a/src/siblings/server_connection.cpp
+++ b/src/siblings/server_connection.cpp
@@ -18,10 +18,10 @@
 
 namespace {
 
-/// A connection that has proved nothing for so long only takes up room.
+/// Unauthenticated connections are closed after this time so that they do not hold resources.
 constexpr auto authenticationTimeout = std::chrono::seconds { 5 };
 constexpr auto maxCallTimeout = std::chrono::hours { 1 };
-/// Messages that arrive on one connection at the same time, as a multiple of the longest one.
+/// Bound on the bytes of incomplete messages on one connection, in messages of the maximum size.
 constexpr std::size_t maxBufferedMessages = 4;
 
 std::optional<Duration> parseTimeout(const std::string& text)
@@ -88,7 +88,7 @@
     const bool bufferFull
         = this->bufferedBytes + data.size() > maxBufferedMessages * this->options.maxMessageBytes;
     if (messageTooLong || bufferFull) {
-        // No handler has seen it, which is what this code tells the other end.
+        // REFUSED_STREAM tells the other end that no handler has seen the call.
         this->onStreamClosed(stream, NGHTTP2_REFUSED_STREAM);
         this->resetStream(stream, NGHTTP2_REFUSED_STREAM);
         return;
@@ -127,7 +127,7 @@
     this->options.onClosed();
 }
 
-/// A second greeting would change the key under calls that are open; it is refused.
+/// A second hello is refused because it would change the key while calls are open.
 void ServerConnection::answerHello(StreamId stream, const IncomingMessage& hello)
 {
     if (this->helloReceived || hello.nonce.empty()) {
--- a/src/siblings/server_connection.h
+++ b/src/siblings/server_connection.h
@@ -10,14 +10,14 @@
 
 namespace cyclamendrift {
 
-/// The answering end of a connection.
+/// Server end of a connection between siblings.
 class ServerConnection final : public Http2Connection {
 public:
     struct Options {
         Http2Connection::Options connection;
         MessageKey secretKey;
         std::size_t maxMessageBytes = 0;
-        /// Where handlers run.
+        /// Executor that the handlers run on.
         asio::any_io_executor handlerExecutor;
         SiblingServer::Handler handler;
         std::function<void()> onClosed;
@@ -25,7 +25,7 @@
 
     ServerConnection(asio::ip::tcp::socket socket, Options options);
 
-    /// Begins to serve; the other end must prove soon that it knows the secret.
+    /// Starts serving; closes the connection unless a call is authenticated within a few seconds.
     void serve();
 
 private:
--- a/src/siblings/sibling_client.cpp
+++ b/src/siblings/sibling_client.cpp
@@ -37,7 +37,7 @@
     throw SiblingError { kind, message };
 }
 
-/// Which connection a call goes over. A VM that came back at another address gets another one.
+/// Key of the connection for a call. A VM that returns at another address gets a new connection.
 struct PeerKey {
     std::string vm;
     std::string host;
@@ -46,7 +46,7 @@
     friend auto operator<=>(const PeerKey&, const PeerKey&) = default;
 };
 
-/// One attempt to connect, that every call which needs the connection waits for.
+/// Connection attempt shared by all calls that wait for the connection.
 struct ConnectAttempt {
     bool done = false;
     ConnectionPointer connection;
@@ -72,7 +72,7 @@
     std::error_code error;
     const tcp::endpoint endpoint { asio::ip::make_address(host, error), port };
     if (error)
-        throwSiblingError(SiblingError::Kind::Unreachable, "not an IP address: " + host);
+        throwSiblingError(SiblingError::Kind::Unreachable, "sibling host is not an IP address: " + host);
     auto socket = std::make_shared<tcp::socket>(executor);
     asio::steady_timer timer { executor, deadline };
     timer.async_wait([socket](const std::error_code& cancelled) {
@@ -82,8 +82,8 @@
     });
     co_await socket->async_connect(endpoint, asio::redirect_error(asio::use_awaitable, error));
     if (error || !socket->is_open())
-        throwSiblingError(
-            SiblingError::Kind::Unreachable, "cannot connect to " + host + ':' + std::to_string(port));
+        throwSiblingError(SiblingError::Kind::Unreachable,
+            "could not connect to sibling at " + host + ':' + std::to_string(port));
     co_return std::move(*socket);
 }
 
@@ -123,7 +123,7 @@
     const auto remaining = call.deadline - std::chrono::steady_clock::now();
     const auto timeout = std::chrono::duration_cast<std::chrono::microseconds>(remaining);
     if (timeout <= timeout.zero())
-        throwSiblingError(SiblingError::Kind::Unreachable, "the deadline had passed; nothing was sent");
+        throwSiblingError(SiblingError::Kind::Unreachable, "the deadline passed before the call was sent");
     const auto timeoutText = std::to_string(timeout.count());
     const auto streamId = std::to_string(connection.upcomingStreamId());
     ClientConnection::Message message;
@@ -148,15 +148,16 @@
     auto message = self->makeMessage(*connection, call);
     const auto answer = co_await connection->exchange(std::move(message), call.deadline);
     if (answer->status == "401")
-        throwSiblingError(SiblingError::Kind::NotAuthenticated, "the sibling did not accept the call's code");
+        throwSiblingError(
+            SiblingError::Kind::NotAuthenticated, "the sibling rejected the call's authentication code");
     const auto streamId = std::to_string(answer->id);
     if (!connection->key().verify(
             answer->mac, { protocol::answerLabel, streamId, answer->result, answer->body }))
-        throwSiblingError(SiblingError::Kind::BadAnswer, "the answer's code is wrong");
+        throwSiblingError(SiblingError::Kind::BadAnswer, "the answer's authentication code is wrong");
     if (answer->result == protocol::refusedResult)
         throw protocol::decodeRefusal(answer->body);
     if (answer->result != protocol::answeredResult)
-        throwSiblingError(SiblingError::Kind::BadAnswer, "the sibling's answer is of no known kind");
+        throwSiblingError(SiblingError::Kind::BadAnswer, "the sibling's answer has an unknown result");
     co_return std::move(answer->body);
 }
 
@@ -165,11 +166,12 @@
 {
     const PeerKey key { .vm = address.vm.string(), .host = address.host, .port = address.port };
     if (self->stopped)
-        throwSiblingError(SiblingError::Kind::Unreachable, "the client is being closed");
+        throwSiblingError(SiblingError::Kind::Unreachable, "the sibling client is closed");
     auto& peer = self->peers[key];
     if (peer.connection && peer.connection->canOpenStream())
         co_return peer.connection;
-    // An attempt that fails before it has to wait ends within co_spawn, and its peer is forgotten then.
+    // co_spawn runs an attempt that fails without suspending to its end, which removes the peer: `peer` may
+    // dangle afterwards.
     auto attempt = peer.attempt;
     if (!attempt) {
         attempt = std::make_shared<ConnectAttempt>();
@@ -233,7 +235,7 @@
     try {
         co_await connection->authenticate(self->secretKey, deadline);
     } catch (const SiblingError& error) {
-        // Nothing but the greeting was sent, so for the calls that wait the sibling is just out of reach.
+        // Only the hello was sent, so none of the waiting calls can have run.
         const bool connectionLost = error.kind() == SiblingError::Kind::OutcomeUnknown;
         const auto kind = connectionLost ? SiblingError::Kind::Unreachable : error.kind();
         failure = std::make_exception_ptr(SiblingError { kind, error.what() });
@@ -245,7 +247,7 @@
     co_return connection;
 }
 
-/// Siblings come and go; what is kept of one that has gone would only grow.
+/// Removes a peer without an open connection; entries of siblings that left would otherwise accumulate.
 void SiblingClient::State::removeClosedPeer(const PeerKey& key)
 {
     const auto found = this->peers.find(key);
--- a/src/siblings/sibling_protocol.cpp
+++ b/src/siblings/sibling_protocol.cpp
@@ -24,7 +24,7 @@
 {
     api::Error message;
     if (!message.ParseFromString(body))
-        throw SiblingError { SiblingError::Kind::BadAnswer, "the sibling's refusal cannot be read" };
+        throw SiblingError { SiblingError::Kind::BadAnswer, "the sibling's refusal cannot be parsed" };
     return RequestError { {
         .outcome = outcomeFrom(message.outcome()),
         .reason = refusalReasonFrom(message.code()),
--- a/src/siblings/sibling_protocol.h
+++ b/src/siblings/sibling_protocol.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-/// Names and codecs of the protocol between siblings; docs/design/siblings.md describes it.
+/// Names and codecs of the protocol between siblings (see docs/design/siblings.md).
 namespace cyclamendrift::sibling_protocol {
 
 constexpr std::string_view helloPath = "/hello";
@@ -16,21 +16,21 @@
 constexpr std::string_view resultField = "cyclamendrift-result";
 constexpr std::string_view traceField = "traceparent";
 
-/// The handler's answer is the body.
+/// The body is the handler's answer.
 constexpr std::string_view answeredResult = "answered";
 /// The body is an api.Error.
 constexpr std::string_view refusedResult = "refused";
 
-// What authentication codes are computed over begins with one of these, so that a code of one kind of message
-// is never that of another.
+// First field of the input of each MAC, so that the MAC of one kind of message is never valid for another
+// kind.
 constexpr std::string_view helloLabel = "hello";
 constexpr std::string_view callLabel = "call";
 constexpr std::string_view answerLabel = "answer";
 
-/// A refusal as the body of an answer.
+/// Encodes a refusal as the body of an answer.
 [[nodiscard]] std::string encodeRefusal(const RequestError& error);
 
-/// The refusal in a body; throws SiblingError with BadAnswer when it is none.
+/// Decodes a refusal from the body of an answer; throws SiblingError with BadAnswer if it is malformed.
 [[nodiscard]] RequestError decodeRefusal(const std::string& body);
 
 } // namespace cyclamendrift::sibling_protocol
--- a/src/siblings/sibling_server.cpp
+++ b/src/siblings/sibling_server.cpp
@@ -20,8 +20,8 @@
 
 namespace {
 
-/// Wait after a failed accept, as when the process has no file descriptors left; without it the failure would
-/// repeat at once and take a whole core.
+/// Pause after a failed accept, for example without free file descriptors. Retrying at once would fail again
+/// and keep a whole core busy.
 constexpr auto acceptBackoff = std::chrono::milliseconds { 100 };
 
 } // namespace
