--- a/tests/siblings/relay.h
+++ b/tests/siblings/relay.h
@@ -15,11 +15,12 @@
 #include <utility>
 #include <vector>
 
-/// Stands between two siblings and plays the network: passes bytes on, changes, swallows or cuts them.
+/// TCP relay between a client and a server that forwards bytes, modifies or drops them, or closes
+/// connections.
 class Relay {
 public:
     using Socket = std::shared_ptr<asio::ip::tcp::socket>;
-    /// Looks at bytes under way and may change them; false cuts the connection.
+    /// Receives the bytes to forward and may modify them; returns false to close the connection.
     using Filter = std::function<bool(std::string&)>;
 
     Relay(asio::io_context& context, std::uint16_t serverPort)
@@ -31,7 +32,7 @@
 
     [[nodiscard]] std::uint16_t port() const { return this->acceptor.local_endpoint().port(); }
 
-    /// Bytes on connections that are open now arrive nowhere any more; new connections work.
+    /// Drops all further bytes of the connections that are open now; new connections are forwarded.
     void blackholeOpenConnections() { ++this->firstForwardingGeneration; }
 
     Filter toServer = [](std::string&) { return true; };
--- a/tests/siblings/sibling_test.cpp
+++ b/tests/siblings/sibling_test.cpp
@@ -22,7 +22,7 @@
 
 constexpr auto secret = "the secret that all siblings know";
 
-/// A sibling that serves and one that calls it, on one thread.
+/// Server and client of two siblings, connected through a relay, on one thread.
 struct Pair {
     explicit Pair(SiblingServer::Handler handler, const char* serverSecret = secret)
         : server(std::in_place, context.get_executor(),
@@ -79,7 +79,7 @@
     throw std::logic_error { "not reached" };
 }
 
-/// Ends when the flag is set, so that a test decides when a handler answers.
+/// Returns once the flag is set, so that a test decides when a handler answers.
 asio::awaitable<void> waitFor(const bool& flag)
 {
     asio::steady_timer timer { co_await asio::this_coro::executor };
@@ -102,7 +102,8 @@
 
 TEST_SUITE("calls between siblings")
 {
-    TEST_CASE("a call arrives with its caller, method, time left and trace, and its answer comes back")
+    TEST_CASE(
+        "the handler receives sender, method, body, deadline and trace context, and the caller its answer")
     {
         std::optional<IncomingSiblingCall> received;
         Pair pair { [&](IncomingSiblingCall call) -> asio::awaitable<std::string> {
@@ -121,7 +122,7 @@
         CHECK(received->deadline > deadline - 30s);
     }
 
-    TEST_CASE("a body of many windows of flow control comes back whole, and small calls pass it")
+    TEST_CASE("a body larger than the flow control windows arrives complete and does not block a small call")
     {
         Pair pair { echo };
         std::string large(Pair::maxBytes, 'x');
@@ -149,10 +150,10 @@
         CHECK(order == std::vector<std::string> { "small", "large" });
     }
 
-    TEST_CASE("a refusal of the sibling reaches the caller as the same refusal")
+    TEST_CASE("a RequestError thrown by the handler reaches the caller unchanged")
     {
-        // The home refuses for one of its reasons. Turned into a lost call on the way, a request that did not
-        // run would be reported as one whose outcome is unknown.
+        // Guards against a refusal by the service owner being turned into a failed call: a request that did
+        // not run would be reported with an unknown outcome.
         Pair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> {
             throw RequestError { { .outcome = Outcome::NotRun,
                 .reason = RefusalReason::Overloaded,
@@ -171,9 +172,10 @@
         }
     }
 
-    TEST_CASE("a handler that fails leaves the outcome unknown")
+    TEST_CASE("an exception in the handler makes the outcome unknown")
     {
-        // A bug or a full memory in the home after the statement was sent. "Not run" would be a guess.
+        // A bug or a failed allocation in the service owner may occur after the statement was sent, so the
+        // call must not be reported as not run.
         Pair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> {
             throw std::runtime_error { "out of luck" };
             co_return "";
@@ -186,9 +188,10 @@
         }
     }
 
-    TEST_CASE("a call whose deadline has passed is not sent, one that is not answered in time is lost")
+    TEST_CASE("a call after its deadline is not sent, and the outcome of a call that times out is unknown")
     {
-        // A home that is overloaded answers too late. The caller is told at its deadline, truly.
+        // An overloaded service owner answers too late. Guards against a caller that waits past its deadline
+        // or is told a wrong outcome.
         int handled = 0;
         const bool never = false;
         Pair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
@@ -205,7 +208,7 @@
         CHECK(handled == 0);
         auto deadline = std::chrono::steady_clock::now();
         auto result = SiblingError::Kind::Unreachable;
-        // On a machine under load a short deadline may pass before the call was sent; then nothing ran.
+        // Under load a short deadline may pass before the call is sent; the call is then not run.
         for (auto wait = 50ms; result == SiblingError::Kind::Unreachable; wait *= 2) {
             CHECK(handled == 0);
             deadline = std::chrono::steady_clock::now() + wait;
@@ -215,10 +218,10 @@
         CHECK(std::chrono::steady_clock::now() >= deadline);
     }
 
-    TEST_CASE("a call or an answer over the bound is refused and harms no other call")
+    TEST_CASE("a call or an answer over the size limit is refused and leaves other calls unaffected")
     {
-        // A sibling of another version, or a caller that asks for a whole table. Without a bound one message
-        // could take the memory of the process.
+        // A sibling of another version or a caller that reads a whole table sends such messages. Guards
+        // against one message that exhausts the memory of the process.
         Pair pair { [](IncomingSiblingCall call) -> asio::awaitable<std::string> {
             co_return std::string(call.body == "much" ? Pair::maxBytes + 1 : 1, 'x');
         } };
@@ -229,9 +232,9 @@
     }
 }
 
-TEST_SUITE("connections between siblings that fail")
+TEST_SUITE("failures of connections between siblings")
 {
-    TEST_CASE("nobody listens: the call was not sent")
+    TEST_CASE("a call to a port without a listener is not sent")
     {
         Pair pair { echo };
         std::uint16_t unusedPort = 0;
@@ -247,9 +250,9 @@
         }) == SiblingError::Kind::Unreachable);
     }
 
-    TEST_CASE("an address that is none fails at once and not at the deadline")
+    TEST_CASE("a host that is not an IP address fails at once instead of at the deadline")
     {
-        // The platform's list gives a host name where an address belongs. The caller must not wait for it.
+        // The platform's VM list may hold a host name instead of an address. The caller must not wait for it.
         Pair pair { echo };
         const SiblingAddress address { .vm = VmName { "odd" }, .host = "vm.example", .port = 1 };
         const auto deadline = std::chrono::steady_clock::now() + 1h;
@@ -262,10 +265,10 @@
         }
     }
 
-    TEST_CASE("an answer cut in the middle is lost and never taken for a whole one")
+    TEST_CASE("an answer cut off in the middle fails with an unknown outcome and is not returned in part")
     {
-        // The home dies while its answer is under way. The first half of a list of beds looks like a list of
-        // beds; shown to a coordinator, half of the beds would not exist.
+        // The service owner fails while it sends its answer. Guards against a truncated result that is taken
+        // for a complete one: a list of beds would show only half of them.
         Pair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> {
             co_return std::string(100'000, 'x');
         } };
@@ -280,10 +283,10 @@
         CHECK(pair.call("list").size() == 100'000);
     }
 
-    TEST_CASE("a call cut before its end was never run, and the caller is told so")
+    TEST_CASE("a call cut off before its end is not run and is reported as not run")
     {
-        // The connection breaks while a large call is being sent. The home runs only what arrived whole, so
-        // the caller may safely send it to another home.
+        // The connection fails while a large call is sent. The service owner runs only complete calls, so the
+        // caller may safely send the call to another owner VM.
         int handled = 0;
         Pair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
             ++handled;
@@ -300,10 +303,10 @@
         CHECK(handled == 1);
     }
 
-    TEST_CASE("a connection that went silent is found by PING, long before the deadline")
+    TEST_CASE("an unresponsive connection is detected by PING long before the deadline of the call")
     {
-        // Something between two siblings has lost track of their connection. Without a probe every call over
-        // it would wait for its own deadline, one after the other.
+        // A device between two siblings has dropped the state of their connection. Without a PING each call
+        // on it would wait for its own deadline.
         Pair pair { echo };
         pair.call("first");
         pair.relay.blackholeOpenConnections();
@@ -314,10 +317,10 @@
         CHECK(pair.call("over a new connection") == "over a new connection");
     }
 
-    TEST_CASE("a slow answer is not taken for a dead sibling")
+    TEST_CASE("a connection stays open while a handler is slow and PINGs are answered")
     {
-        // The home waits for a connection to its upstream for longer than any ping timeout. Were the
-        // connection closed for it, all other calls over it would be lost as well.
+        // The service owner waits for an upstream connection for longer than the ping timeout. Closing the
+        // connection between the siblings would fail all other calls on it as well.
         int pongs = 0;
         bool mayAnswer = false;
         Pair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
@@ -335,9 +338,10 @@
         CHECK(pair.call("slow") == "late");
     }
 
-    TEST_CASE("a server that drains ends what it has and refuses what comes after, without losing any")
+    TEST_CASE("a draining server completes open calls and refuses later ones as not run")
     {
-        // A planned stop. What is under way is answered; what comes later was not run and may go elsewhere.
+        // During a planned stop, open calls must be answered, and later calls must be known not to have run
+        // so that they can be sent to another sibling.
         bool mayAnswer = false;
         bool started = false;
         Pair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
@@ -368,11 +372,11 @@
     }
 }
 
-TEST_SUITE("who is a sibling")
+TEST_SUITE("authentication of siblings")
 {
-    TEST_CASE("an end that does not know the secret is refused, and neither secret nor call reaches it")
+    TEST_CASE("a server without the secret is rejected before the secret or a call is sent to it")
     {
-        // Another process listens at the address of a sibling that is gone. Sent the secret or a call, it
+        // Another process may listen at the address of a sibling that has left. With the secret or a call it
         // could act as any proxy of the fleet.
         int handled = 0;
         std::string sent;
@@ -391,9 +395,9 @@
         CHECK(sent.find("an order") == std::string::npos);
     }
 
-    TEST_CASE("recorded bytes of a sibling run nothing when they are sent again")
+    TEST_CASE("recorded bytes of a connection run no call when they are replayed")
     {
-        // Somebody on the network records a call and sends it once more. A reservation would be made twice.
+        // Guards against a replay attack: a recorded call sent again would make a reservation twice.
         int handled = 0;
         Pair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
             ++handled;
@@ -410,16 +414,16 @@
         socket.connect({ asio::ip::address_v4::loopback(), pair.server->port() });
         asio::write(socket, asio::buffer(recorded));
         socket.shutdown(asio::ip::tcp::socket::shutdown_send);
-        // The server closes its end once it has read all of it.
+        // The server closes its end after it has read everything.
         runCoroutine(pair.context, readToEnd(socket));
         pair.context.restart();
         pair.context.poll();
         CHECK(handled == 1);
     }
 
-    TEST_CASE("an answer that was changed under way is not believed")
+    TEST_CASE("an answer modified in transit is rejected")
     {
-        // A middlebox or an attacker rewrites an answer; HTTP/2 alone would not notice.
+        // A middlebox or an attacker may rewrite an answer, which HTTP/2 alone does not detect.
         Pair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> { co_return "bed 12 is free"; } };
         pair.relay.toClient = [](std::string& bytes) {
             if (const auto at = bytes.find("bed 12"); at != std::string::npos)
@@ -429,9 +433,9 @@
         CHECK(errorKindOf([&] { pair.call("list"); }) == SiblingError::Kind::BadAnswer);
     }
 
-    TEST_CASE("what is no HTTP/2 ends its own connection only")
+    TEST_CASE("input that is not HTTP/2 closes only its own connection")
     {
-        // A port scanner, or a browser on the wrong port.
+        // A port scanner or a browser on the wrong port sends such input.
         Pair pair { echo };
         asio::ip::tcp::socket socket { pair.context };
         socket.connect({ asio::ip::address_v4::loopback(), pair.server->port() });
