--- a/src/siblings/server_connection.cpp
+++ b/src/siblings/server_connection.cpp
@@ -20,6 +20,7 @@
 
 /// Unauthenticated connections are closed after this time so that they do not hold resources.
 constexpr auto authenticationTimeout = std::chrono::seconds { 5 };
+/// Longer timeouts requested by a caller are reduced to this.
 constexpr auto maxCallTimeout = std::chrono::hours { 1 };
 /// Bound on the bytes of incomplete messages on one connection, in messages of the maximum size.
 constexpr std::size_t maxBufferedMessages = 4;
--- a/tests/siblings/sibling_test.cpp
+++ b/tests/siblings/sibling_test.cpp
@@ -102,8 +102,7 @@
 
 TEST_SUITE("calls between siblings")
 {
-    TEST_CASE(
-        "the handler receives sender, method, body, deadline and trace context, and the caller its answer")
+    TEST_CASE("a handler receives every field of a call, and its answer is returned to the caller")
     {
         std::optional<IncomingSiblingCall> received;
         Pair pair { [&](IncomingSiblingCall call) -> asio::awaitable<std::string> {
