--- a/tests/siblings/sibling_test.cpp
+++ b/tests/siblings/sibling_test.cpp
@@ -23,8 +23,8 @@
 constexpr auto secret = "the secret that all siblings know";
 
 /// Server and client of two siblings, connected through a relay, on one thread.
-struct Pair {
-    explicit Pair(SiblingServer::Handler handler, const char* serverSecret = secret)
+struct SiblingPair {
+    explicit SiblingPair(SiblingServer::Handler handler, const char* serverSecret = secret)
         : server(std::in_place, context.get_executor(),
             SiblingServer::Options { .host = "127.0.0.1",
                 .secret = serverSecret,
@@ -105,11 +105,11 @@
     TEST_CASE("a handler receives every field of a call, and its answer is returned to the caller")
     {
         std::optional<IncomingSiblingCall> received;
-        Pair pair { [&](IncomingSiblingCall call) -> asio::awaitable<std::string> {
+        SiblingPair pair { [&](IncomingSiblingCall call) -> asio::awaitable<std::string> {
             received = call;
             co_return "done";
         } };
-        const auto deadline = Pair::farDeadline();
+        const auto deadline = SiblingPair::farDeadline();
         const auto answer = pair.call(
             { .method = "Execute", .body = "order", .deadline = deadline, .traceparent = "00-ab-cd-01" });
         CHECK(answer == "done");
@@ -123,8 +123,8 @@
 
     TEST_CASE("a body larger than the flow control windows arrives complete and does not block a small call")
     {
-        Pair pair { echo };
-        std::string large(Pair::maxBytes, 'x');
+        SiblingPair pair { echo };
+        std::string large(SiblingPair::maxBytes, 'x');
         large.back() = 'y';
         std::vector<std::string> order;
         const SiblingAddress address {
@@ -133,7 +133,10 @@
         const auto spawn = [&](std::string name, std::string body) {
             asio::co_spawn(pair.context,
                 pair.client->call(address,
-                    { .method = "Echo", .body = body, .deadline = Pair::farDeadline(), .traceparent = "" }),
+                    { .method = "Echo",
+                        .body = body,
+                        .deadline = SiblingPair::farDeadline(),
+                        .traceparent = "" }),
                 [&order, name, body](std::exception_ptr error, const std::string& answer) {
                     CHECK_FALSE(error);
                     CHECK(answer == body);
@@ -153,7 +156,7 @@
     {
         // Guards against a refusal by the service owner being turned into a failed call: a request that did
         // not run would be reported with an unknown outcome.
-        Pair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> {
+        SiblingPair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> {
             throw RequestError { { .outcome = Outcome::NotRun,
                 .reason = RefusalReason::Overloaded,
                 .message = "queue is full",
@@ -175,7 +178,7 @@
     {
         // A bug or a failed allocation in the service owner may occur after the statement was sent, so the
         // call must not be reported as not run.
-        Pair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> {
+        SiblingPair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> {
             throw std::runtime_error { "out of luck" };
             co_return "";
         } };
@@ -193,7 +196,7 @@
         // or is told a wrong outcome.
         int handled = 0;
         const bool never = false;
-        Pair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
+        SiblingPair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
             ++handled;
             co_await waitFor(never);
             co_return "";
@@ -221,10 +224,10 @@
     {
         // A sibling of another version or a caller that reads a whole table sends such messages. Guards
         // against one message that exhausts the memory of the process.
-        Pair pair { [](IncomingSiblingCall call) -> asio::awaitable<std::string> {
-            co_return std::string(call.body == "much" ? Pair::maxBytes + 1 : 1, 'x');
+        SiblingPair pair { [](IncomingSiblingCall call) -> asio::awaitable<std::string> {
+            co_return std::string(call.body == "much" ? SiblingPair::maxBytes + 1 : 1, 'x');
         } };
-        CHECK(errorKindOf([&] { pair.call(std::string(Pair::maxBytes + 1, 'x')); })
+        CHECK(errorKindOf([&] { pair.call(std::string(SiblingPair::maxBytes + 1, 'x')); })
             == SiblingError::Kind::Unreachable);
         CHECK_THROWS_AS(pair.call("much"), RequestError);
         CHECK(pair.call("little") == "x");
@@ -235,7 +238,7 @@
 {
     TEST_CASE("a call to a port without a listener is not sent")
     {
-        Pair pair { echo };
+        SiblingPair pair { echo };
         std::uint16_t unusedPort = 0;
         {
             const asio::ip::tcp::acceptor acceptor { pair.context, { asio::ip::address_v4::loopback(), 0 } };
@@ -245,14 +248,17 @@
         CHECK(errorKindOf([&] {
             runCoroutine(pair.context,
                 pair.client->call(address,
-                    { .method = "Echo", .body = "", .deadline = Pair::farDeadline(), .traceparent = "" }));
+                    { .method = "Echo",
+                        .body = "",
+                        .deadline = SiblingPair::farDeadline(),
+                        .traceparent = "" }));
         }) == SiblingError::Kind::Unreachable);
     }
 
     TEST_CASE("a host that is not an IP address fails at once instead of at the deadline")
     {
         // The platform's VM list may hold a host name instead of an address. The caller must not wait for it.
-        Pair pair { echo };
+        SiblingPair pair { echo };
         const SiblingAddress address { .vm = VmName { "odd" }, .host = "vm.example", .port = 1 };
         const auto deadline = std::chrono::steady_clock::now() + 1h;
         for (int attempt = 0; attempt < 2; ++attempt) {
@@ -268,7 +274,7 @@
     {
         // The service owner fails while it sends its answer. Guards against a truncated result that is taken
         // for a complete one: a list of beds would show only half of them.
-        Pair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> {
+        SiblingPair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> {
             co_return std::string(100'000, 'x');
         } };
         std::size_t forwardedBytes = 0;
@@ -287,7 +293,7 @@
         // The connection fails while a large call is sent. The service owner runs only complete calls, so the
         // caller may safely send the call to another owner VM.
         int handled = 0;
-        Pair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
+        SiblingPair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
             ++handled;
             co_return "";
         } };
@@ -297,7 +303,7 @@
             forwardedBytes += bytes.size();
             return forwardedBytes < 100'000;
         };
-        CHECK(errorKindOf([&] { pair.call(std::string(Pair::maxBytes, 'x')); })
+        CHECK(errorKindOf([&] { pair.call(std::string(SiblingPair::maxBytes, 'x')); })
             == SiblingError::Kind::Unreachable);
         CHECK(handled == 1);
     }
@@ -306,7 +312,7 @@
     {
         // A device between two siblings has dropped the state of their connection. Without a PING each call
         // on it would wait for its own deadline.
-        Pair pair { echo };
+        SiblingPair pair { echo };
         pair.call("first");
         pair.relay.blackholeOpenConnections();
         const auto deadline = std::chrono::steady_clock::now() + 1h;
@@ -322,7 +328,7 @@
         // connection between the siblings would fail all other calls on it as well.
         int pongs = 0;
         bool mayAnswer = false;
-        Pair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
+        SiblingPair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
             co_await waitFor(mayAnswer);
             co_return "late";
         } };
@@ -343,7 +349,7 @@
         // so that they can be sent to another sibling.
         bool mayAnswer = false;
         bool started = false;
-        Pair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
+        SiblingPair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
             started = true;
             co_await waitFor(mayAnswer);
             co_return "finished";
@@ -354,7 +360,7 @@
         };
         asio::co_spawn(pair.context,
             pair.client->call(address,
-                { .method = "Echo", .body = "", .deadline = Pair::farDeadline(), .traceparent = "" }),
+                { .method = "Echo", .body = "", .deadline = SiblingPair::farDeadline(), .traceparent = "" }),
             [&](std::exception_ptr error, std::string answer) {
                 CHECK_FALSE(error);
                 first = std::move(answer);
@@ -379,10 +385,10 @@
         // could act as any proxy of the fleet.
         int handled = 0;
         std::string sent;
-        Pair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
-                       ++handled;
-                       co_return "";
-                   },
+        SiblingPair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
+                              ++handled;
+                              co_return "";
+                          },
             "another secret" };
         pair.relay.toServer = [&](std::string& bytes) {
             sent += bytes;
@@ -398,7 +404,7 @@
     {
         // Guards against a replay attack: a recorded call sent again would make a reservation twice.
         int handled = 0;
-        Pair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
+        SiblingPair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
             ++handled;
             co_return "";
         } };
@@ -423,7 +429,9 @@
     TEST_CASE("an answer modified in transit is rejected")
     {
         // A middlebox or an attacker may rewrite an answer, which HTTP/2 alone does not detect.
-        Pair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> { co_return "bed 12 is free"; } };
+        SiblingPair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> {
+            co_return "bed 12 is free";
+        } };
         pair.relay.toClient = [](std::string& bytes) {
             if (const auto at = bytes.find("bed 12"); at != std::string::npos)
                 bytes[at + 4] = '9';
@@ -435,7 +443,7 @@
     TEST_CASE("input that is not HTTP/2 closes only its own connection")
     {
         // A port scanner or a browser on the wrong port sends such input.
-        Pair pair { echo };
+        SiblingPair pair { echo };
         asio::ip::tcp::socket socket { pair.context };
         socket.connect({ asio::ip::address_v4::loopback(), pair.server->port() });
         asio::write(socket, asio::buffer(std::string { "GET / HTTP/1.1\r\nHost: sibling\r\n\r\n" }));
