--- a/src/siblings/client_link.h
+++ b/src/siblings/client_connection.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "http2_link.h"
+#include "http2_connection.h"
 #include "message_key.h"
 
 #include <asio/steady_timer.hpp>
@@ -12,10 +12,10 @@
 
 namespace cyclamendrift {
 
-/// One call on its way, and what has come back of it.
+/// Outgoing call and the parts of its answer that have been received.
 struct ClientStream {
     explicit ClientStream(const asio::any_io_executor& executor)
-        : finished(executor)
+        : completionTimer(executor)
     {
     }
 
@@ -23,25 +23,25 @@
     std::string status;
     std::string result;
     std::string nonce;
-    std::string code;
+    std::string mac;
     std::string body;
     std::uint32_t errorCode = 0;
-    /// The other end may have got the whole call.
-    bool sent = false;
-    /// The answer has come to its end.
-    bool ended = false;
+    /// The end of the call was written, so the other end may have received the whole call.
+    bool endSent = false;
+    /// The end of the answer was received.
+    bool endReceived = false;
     bool closed = false;
-    bool tooLong = false;
-    asio::steady_timer finished;
+    bool bodyTooLong = false;
+    asio::steady_timer completionTimer;
 };
 
-/// The calling end of a connection.
-class ClientLink final : public Http2Link {
+/// Client end of a connection between siblings.
+class ClientConnection final : public Http2Connection {
 public:
     struct Options {
-        Http2Link::Options link;
+        Http2Connection::Options connection;
         std::size_t maxMessageBytes = 0;
-        std::size_t maxCalls = 0;
+        std::size_t maxConcurrentCalls = 0;
         std::function<void()> onClosed;
     };
     struct Message {
@@ -50,16 +50,17 @@
         std::string body;
     };
 
-    ClientLink(asio::ip::tcp::socket socket, Options options);
+    ClientConnection(asio::ip::tcp::socket socket, Options options);
 
-    /// Has the other end prove that it knows the secret; throws SiblingError.
+    /// Requires the other end to prove that it knows the secret; throws SiblingError if it does not.
     [[nodiscard]] asio::awaitable<void> authenticate(MessageKey secretKey, Instant deadline);
 
-    /// Sends a message and waits until its stream has closed; throws SiblingError unless the answer is whole.
+    /// Sends a message and waits until its stream is closed; throws SiblingError unless the answer is
+    /// complete.
     [[nodiscard]] asio::awaitable<std::shared_ptr<ClientStream>> exchange(Message message, Instant deadline);
 
-    /// The number that the next message will get.
-    [[nodiscard]] StreamId upcoming() const { return this->nextStream(); }
+    /// HTTP/2 stream id that the next message will use.
+    [[nodiscard]] StreamId upcomingStreamId() const { return this->nextStreamId(); }
     [[nodiscard]] const MessageKey& key() const noexcept { return this->connectionKey; }
 
 private:
@@ -68,11 +69,11 @@
     void onEnd(StreamId stream) override;
     void onSent(StreamId stream) override;
     void onStreamClosed(StreamId stream, std::uint32_t errorCode) override;
-    void onLinkClosed() override;
+    void onConnectionClosed() override;
 
     [[nodiscard]] std::shared_ptr<ClientStream> find(StreamId stream) const;
     [[nodiscard]] std::shared_ptr<ClientStream> submit(Message message);
-    void finish(ClientStream& stream, std::uint32_t errorCode);
+    void completeStream(ClientStream& stream, std::uint32_t errorCode);
 
     Options options;
     MessageKey connectionKey;
--- a/src/siblings/message_key.cpp
+++ b/src/siblings/message_key.cpp
@@ -12,7 +12,7 @@
 void initialiseSodium()
 {
     if (sodium_init() < 0)
-        throw std::runtime_error { "libsodium cannot be initialised" };
+        throw std::runtime_error { "libsodium could not be initialised" };
 }
 
 template <std::size_t size> std::string hexOf(const std::array<unsigned char, size>& bytes)
@@ -40,20 +40,19 @@
     return result;
 }
 
-std::string MessageKey::codeOf(std::initializer_list<std::string_view> fields) const
+std::string MessageKey::computeMac(std::initializer_list<std::string_view> fields) const
 {
     return hexOf(this->digest(fields));
 }
 
-bool MessageKey::verify(std::string_view code, std::initializer_list<std::string_view> fields) const
+bool MessageKey::verify(std::string_view mac, std::initializer_list<std::string_view> fields) const
 {
-    const auto expected = this->codeOf(fields);
-    return code.size() == expected.size()
-        && sodium_memcmp(code.data(), expected.data(), expected.size()) == 0;
+    const auto expected = this->computeMac(fields);
+    return mac.size() == expected.size() && sodium_memcmp(mac.data(), expected.data(), expected.size()) == 0;
 }
 
-/// Each field goes in with its length before it; otherwise "ab" + "c" and "a" + "bc" would have one code, and
-/// a method's name could be stretched into its body.
+/// Each field is hashed with its length before it. Otherwise "ab" + "c" and "a" + "bc" would have the same
+/// MAC, and the boundary between a method name and its body could be moved.
 MessageKey::Bytes MessageKey::digest(std::initializer_list<std::string_view> fields) const
 {
     crypto_generichash_state state;
@@ -73,8 +72,8 @@
 std::string makeNonce()
 {
     initialiseSodium();
-    constexpr std::size_t nonceSize = 32;
-    std::array<unsigned char, nonceSize> bytes {};
+    constexpr std::size_t nonceBytes = 32;
+    std::array<unsigned char, nonceBytes> bytes {};
     randombytes_buf(bytes.data(), bytes.size());
     return hexOf(bytes);
 }
--- a/tests/siblings/sibling_test.cpp
+++ b/tests/siblings/sibling_test.cpp
@@ -22,9 +22,9 @@
 
 constexpr auto secret = "the secret that all siblings know";
 
-/// A sibling that serves and one that calls it, on one thread.
-struct Pair {
-    explicit Pair(SiblingServer::Handler handler, const char* serverSecret = secret)
+/// Server and client of two siblings, connected through a relay, on one thread.
+struct SiblingPair {
+    explicit SiblingPair(SiblingServer::Handler handler, const char* serverSecret = secret)
         : server(std::in_place, context.get_executor(),
             SiblingServer::Options { .host = "127.0.0.1",
                 .secret = serverSecret,
@@ -53,11 +53,11 @@
 
     std::string call(std::string body)
     {
-        return this->call(
-            SiblingCall { .method = "Echo", .body = std::move(body), .deadline = soon(), .traceparent = "" });
+        return this->call(SiblingCall {
+            .method = "Echo", .body = std::move(body), .deadline = farDeadline(), .traceparent = "" });
     }
 
-    static Instant soon() { return std::chrono::steady_clock::now() + 60s; }
+    static Instant farDeadline() { return std::chrono::steady_clock::now() + 60s; }
     static constexpr std::size_t maxBytes = std::size_t { 8 } << 20U;
 
     asio::io_context context;
@@ -68,7 +68,7 @@
 
 asio::awaitable<std::string> echo(IncomingSiblingCall call) { co_return std::move(call.body); }
 
-template <class Action> SiblingError::Kind kindOf(Action&& action)
+template <class Action> SiblingError::Kind errorKindOf(Action&& action)
 {
     try {
         action();
@@ -79,7 +79,7 @@
     throw std::logic_error { "not reached" };
 }
 
-/// Ends when the flag is set, so that a test decides when a handler answers.
+/// Returns once the flag is set, so that a test decides when a handler answers.
 asio::awaitable<void> waitFor(const bool& flag)
 {
     asio::steady_timer timer { co_await asio::this_coro::executor };
@@ -102,29 +102,29 @@
 
 TEST_SUITE("calls between siblings")
 {
-    TEST_CASE("a call arrives with its caller, method, time left and trace, and its answer comes back")
+    TEST_CASE("a handler receives every field of a call, and its answer is returned to the caller")
     {
-        std::optional<IncomingSiblingCall> seen;
-        Pair pair { [&](IncomingSiblingCall call) -> asio::awaitable<std::string> {
-            seen = call;
+        std::optional<IncomingSiblingCall> received;
+        SiblingPair pair { [&](IncomingSiblingCall call) -> asio::awaitable<std::string> {
+            received = call;
             co_return "done";
         } };
-        const auto deadline = Pair::soon();
+        const auto deadline = SiblingPair::farDeadline();
         const auto answer = pair.call(
             { .method = "Execute", .body = "order", .deadline = deadline, .traceparent = "00-ab-cd-01" });
         CHECK(answer == "done");
-        REQUIRE(seen.has_value());
-        CHECK(seen->from == VmName { "vm-1" });
-        CHECK(seen->method == "Execute");
-        CHECK(seen->body == "order");
-        CHECK(seen->traceparent == "00-ab-cd-01");
-        CHECK(seen->deadline > deadline - 30s);
+        REQUIRE(received.has_value());
+        CHECK(received->from == VmName { "vm-1" });
+        CHECK(received->method == "Execute");
+        CHECK(received->body == "order");
+        CHECK(received->traceparent == "00-ab-cd-01");
+        CHECK(received->deadline > deadline - 30s);
     }
 
-    TEST_CASE("a body of many windows of flow control comes back whole, and small calls pass it")
+    TEST_CASE("a body larger than the flow control windows arrives complete and does not block a small call")
     {
-        Pair pair { echo };
-        std::string large(Pair::maxBytes, 'x');
+        SiblingPair pair { echo };
+        std::string large(SiblingPair::maxBytes, 'x');
         large.back() = 'y';
         std::vector<std::string> order;
         const SiblingAddress address {
@@ -132,8 +132,11 @@
         };
         const auto spawn = [&](std::string name, std::string body) {
             asio::co_spawn(pair.context,
-                pair.client->call(
-                    address, { .method = "Echo", .body = body, .deadline = Pair::soon(), .traceparent = "" }),
+                pair.client->call(address,
+                    { .method = "Echo",
+                        .body = body,
+                        .deadline = SiblingPair::farDeadline(),
+                        .traceparent = "" }),
                 [&order, name, body](std::exception_ptr error, const std::string& answer) {
                     CHECK_FALSE(error);
                     CHECK(answer == body);
@@ -149,11 +152,11 @@
         CHECK(order == std::vector<std::string> { "small", "large" });
     }
 
-    TEST_CASE("a refusal of the sibling reaches the caller as the same refusal")
+    TEST_CASE("a RequestError thrown by the handler reaches the caller unchanged")
     {
-        // The home refuses for one of its reasons. Turned into a lost call on the way, a request that did not
-        // run would be reported as one whose outcome is unknown.
-        Pair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> {
+        // Guards against a refusal by the service owner being turned into a failed call: a request that did
+        // not run would be reported with an unknown outcome.
+        SiblingPair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> {
             throw RequestError { { .outcome = Outcome::NotRun,
                 .reason = RefusalReason::Overloaded,
                 .message = "queue is full",
@@ -171,10 +174,11 @@
         }
     }
 
-    TEST_CASE("a handler that fails leaves the outcome unknown")
+    TEST_CASE("an exception in the handler makes the outcome unknown")
     {
-        // A bug or a full memory in the home after the statement was sent. "Not run" would be a guess.
-        Pair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> {
+        // A bug or a failed allocation in the service owner may occur after the statement was sent, so the
+        // call must not be reported as not run.
+        SiblingPair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> {
             throw std::runtime_error { "out of luck" };
             co_return "";
         } };
@@ -186,18 +190,19 @@
         }
     }
 
-    TEST_CASE("a call whose deadline has passed is not sent, one that is not answered in time is lost")
+    TEST_CASE("a call after its deadline is not sent, and the outcome of a call that times out is unknown")
     {
-        // A home that is overloaded answers too late. The caller is told at its deadline, truly.
+        // An overloaded service owner answers too late. Guards against a caller that waits past its deadline
+        // or is told a wrong outcome.
         int handled = 0;
         const bool never = false;
-        Pair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
+        SiblingPair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
             ++handled;
             co_await waitFor(never);
             co_return "";
         } };
         const auto call = [&](Instant deadline) {
-            return kindOf([&] {
+            return errorKindOf([&] {
                 pair.call({ .method = "Execute", .body = "x", .deadline = deadline, .traceparent = "" });
             });
         };
@@ -205,56 +210,59 @@
         CHECK(handled == 0);
         auto deadline = std::chrono::steady_clock::now();
         auto result = SiblingError::Kind::Unreachable;
-        // On a machine under load a short deadline may pass before the call was sent; then nothing ran.
+        // Under load a short deadline may pass before the call is sent; the call is then not run.
         for (auto wait = 50ms; result == SiblingError::Kind::Unreachable; wait *= 2) {
             CHECK(handled == 0);
             deadline = std::chrono::steady_clock::now() + wait;
             result = call(deadline);
         }
-        CHECK(result == SiblingError::Kind::Lost);
+        CHECK(result == SiblingError::Kind::OutcomeUnknown);
         CHECK(std::chrono::steady_clock::now() >= deadline);
     }
 
-    TEST_CASE("a call or an answer over the bound is refused and harms no other call")
+    TEST_CASE("a call or an answer over the size limit is refused and leaves other calls unaffected")
     {
-        // A sibling of another version, or a caller that asks for a whole table. Without a bound one message
-        // could take the memory of the process.
-        Pair pair { [](IncomingSiblingCall call) -> asio::awaitable<std::string> {
-            co_return std::string(call.body == "much" ? Pair::maxBytes + 1 : 1, 'x');
+        // A sibling of another version or a caller that reads a whole table sends such messages. Guards
+        // against one message that exhausts the memory of the process.
+        SiblingPair pair { [](IncomingSiblingCall call) -> asio::awaitable<std::string> {
+            co_return std::string(call.body == "much" ? SiblingPair::maxBytes + 1 : 1, 'x');
         } };
-        CHECK(kindOf([&] { pair.call(std::string(Pair::maxBytes + 1, 'x')); })
+        CHECK(errorKindOf([&] { pair.call(std::string(SiblingPair::maxBytes + 1, 'x')); })
             == SiblingError::Kind::Unreachable);
         CHECK_THROWS_AS(pair.call("much"), RequestError);
         CHECK(pair.call("little") == "x");
     }
 }
 
-TEST_SUITE("connections between siblings that fail")
+TEST_SUITE("failures of connections between siblings")
 {
-    TEST_CASE("nobody listens: the call was not sent")
+    TEST_CASE("a call to a port without a listener is not sent")
     {
-        Pair pair { echo };
-        std::uint16_t free = 0;
+        SiblingPair pair { echo };
+        std::uint16_t unusedPort = 0;
         {
             const asio::ip::tcp::acceptor acceptor { pair.context, { asio::ip::address_v4::loopback(), 0 } };
-            free = acceptor.local_endpoint().port();
+            unusedPort = acceptor.local_endpoint().port();
         }
-        const SiblingAddress address { .vm = VmName { "gone" }, .host = "127.0.0.1", .port = free };
-        CHECK(kindOf([&] {
+        const SiblingAddress address { .vm = VmName { "gone" }, .host = "127.0.0.1", .port = unusedPort };
+        CHECK(errorKindOf([&] {
             runCoroutine(pair.context,
-                pair.client->call(
-                    address, { .method = "Echo", .body = "", .deadline = Pair::soon(), .traceparent = "" }));
+                pair.client->call(address,
+                    { .method = "Echo",
+                        .body = "",
+                        .deadline = SiblingPair::farDeadline(),
+                        .traceparent = "" }));
         }) == SiblingError::Kind::Unreachable);
     }
 
-    TEST_CASE("an address that is none fails at once and not at the deadline")
+    TEST_CASE("a host that is not an IP address fails at once instead of at the deadline")
     {
-        // The platform's list gives a host name where an address belongs. The caller must not wait for it.
-        Pair pair { echo };
+        // The platform's VM list may hold a host name instead of an address. The caller must not wait for it.
+        SiblingPair pair { echo };
         const SiblingAddress address { .vm = VmName { "odd" }, .host = "vm.example", .port = 1 };
         const auto deadline = std::chrono::steady_clock::now() + 1h;
         for (int attempt = 0; attempt < 2; ++attempt) {
-            CHECK(kindOf([&] {
+            CHECK(errorKindOf([&] {
                 runCoroutine(pair.context,
                     pair.client->call(
                         address, { .method = "Echo", .body = "", .deadline = deadline, .traceparent = "" }));
@@ -262,65 +270,65 @@
         }
     }
 
-    TEST_CASE("an answer cut in the middle is lost and never taken for a whole one")
+    TEST_CASE("an answer cut off in the middle fails with an unknown outcome and is not returned in part")
     {
-        // The home dies while its answer is under way. The first half of a list of beds looks like a list of
-        // beds; shown to a coordinator, half of the beds would not exist.
-        Pair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> {
+        // The service owner fails while it sends its answer. Guards against a truncated result that is taken
+        // for a complete one: a list of beds would show only half of them.
+        SiblingPair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> {
             co_return std::string(100'000, 'x');
         } };
-        std::size_t passed = 0;
+        std::size_t forwardedBytes = 0;
         pair.relay.toClient = [&](std::string& bytes) {
-            passed += bytes.size();
-            return passed < 50'000;
+            forwardedBytes += bytes.size();
+            return forwardedBytes < 50'000;
         };
-        CHECK(kindOf([&] { pair.call("list"); }) == SiblingError::Kind::Lost);
-        passed = 0;
+        CHECK(errorKindOf([&] { pair.call("list"); }) == SiblingError::Kind::OutcomeUnknown);
+        forwardedBytes = 0;
         pair.relay.toClient = [](std::string&) { return true; };
         CHECK(pair.call("list").size() == 100'000);
     }
 
-    TEST_CASE("a call cut before its end was never run, and the caller is told so")
+    TEST_CASE("a call cut off before its end is not run and is reported as not run")
     {
-        // The connection breaks while a large call is being sent. The home runs only what arrived whole, so
-        // the caller may safely send it to another home.
+        // The connection fails while a large call is sent. The service owner runs only complete calls, so the
+        // caller may safely send the call to another owner VM.
         int handled = 0;
-        Pair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
+        SiblingPair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
             ++handled;
             co_return "";
         } };
         pair.call("first, so that the connection is open");
-        std::size_t passed = 0;
+        std::size_t forwardedBytes = 0;
         pair.relay.toServer = [&](std::string& bytes) {
-            passed += bytes.size();
-            return passed < 100'000;
+            forwardedBytes += bytes.size();
+            return forwardedBytes < 100'000;
         };
-        CHECK(
-            kindOf([&] { pair.call(std::string(Pair::maxBytes, 'x')); }) == SiblingError::Kind::Unreachable);
+        CHECK(errorKindOf([&] { pair.call(std::string(SiblingPair::maxBytes, 'x')); })
+            == SiblingError::Kind::Unreachable);
         CHECK(handled == 1);
     }
 
-    TEST_CASE("a connection that went silent is found by PING, long before the deadline")
+    TEST_CASE("an unresponsive connection is detected by PING long before the deadline of the call")
     {
-        // Something between two siblings has lost track of their connection. Without a probe every call over
-        // it would wait for its own deadline, one after the other.
-        Pair pair { echo };
+        // A device between two siblings has dropped the state of their connection. Without a PING each call
+        // on it would wait for its own deadline.
+        SiblingPair pair { echo };
         pair.call("first");
-        pair.relay.silence();
+        pair.relay.blackholeOpenConnections();
         const auto deadline = std::chrono::steady_clock::now() + 1h;
-        CHECK(kindOf([&] {
+        CHECK(errorKindOf([&] {
             pair.call({ .method = "Echo", .body = "x", .deadline = deadline, .traceparent = "" });
-        }) == SiblingError::Kind::Lost);
+        }) == SiblingError::Kind::OutcomeUnknown);
         CHECK(pair.call("over a new connection") == "over a new connection");
     }
 
-    TEST_CASE("a slow answer is not taken for a dead sibling")
+    TEST_CASE("a connection stays open while a handler is slow and PINGs are answered")
     {
-        // The home waits for a connection to its upstream for longer than any ping timeout. Were the
-        // connection closed for it, all other calls over it would be lost as well.
+        // The service owner waits for an upstream connection for longer than the ping timeout. Closing the
+        // connection between the siblings would fail all other calls on it as well.
         int pongs = 0;
         bool mayAnswer = false;
-        Pair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
+        SiblingPair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
             co_await waitFor(mayAnswer);
             co_return "late";
         } };
@@ -335,12 +343,13 @@
         CHECK(pair.call("slow") == "late");
     }
 
-    TEST_CASE("a server that drains ends what it has and refuses what comes after, without losing any")
+    TEST_CASE("a draining server completes open calls and refuses later ones as not run")
     {
-        // A planned stop. What is under way is answered; what comes later was not run and may go elsewhere.
+        // During a planned stop, open calls must be answered, and later calls must be known not to have run
+        // so that they can be sent to another sibling.
         bool mayAnswer = false;
         bool started = false;
-        Pair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
+        SiblingPair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
             started = true;
             co_await waitFor(mayAnswer);
             co_return "finished";
@@ -350,8 +359,8 @@
             .vm = VmName { "vm-2" }, .host = "127.0.0.1", .port = pair.relay.port()
         };
         asio::co_spawn(pair.context,
-            pair.client->call(
-                address, { .method = "Echo", .body = "", .deadline = Pair::soon(), .traceparent = "" }),
+            pair.client->call(address,
+                { .method = "Echo", .body = "", .deadline = SiblingPair::farDeadline(), .traceparent = "" }),
             [&](std::exception_ptr error, std::string answer) {
                 CHECK_FALSE(error);
                 first = std::move(answer);
@@ -359,7 +368,7 @@
         while (!started)
             pair.context.run_one();
         pair.server->drain();
-        CHECK(kindOf([&] { pair.call("too late"); }) == SiblingError::Kind::Unreachable);
+        CHECK(errorKindOf([&] { pair.call("too late"); }) == SiblingError::Kind::Unreachable);
         mayAnswer = true;
         pair.context.restart();
         while (!first)
@@ -368,34 +377,34 @@
     }
 }
 
-TEST_SUITE("who is a sibling")
+TEST_SUITE("authentication of siblings")
 {
-    TEST_CASE("an end that does not know the secret is refused, and neither secret nor call reaches it")
+    TEST_CASE("a server without the secret is rejected before the secret or a call is sent to it")
     {
-        // Another process listens at the address of a sibling that is gone. Sent the secret or a call, it
+        // Another process may listen at the address of a sibling that has left. With the secret or a call it
         // could act as any proxy of the fleet.
         int handled = 0;
         std::string sent;
-        Pair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
-                       ++handled;
-                       co_return "";
-                   },
+        SiblingPair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
+                              ++handled;
+                              co_return "";
+                          },
             "another secret" };
         pair.relay.toServer = [&](std::string& bytes) {
             sent += bytes;
             return true;
         };
-        CHECK(kindOf([&] { pair.call("an order"); }) == SiblingError::Kind::NotAuthenticated);
+        CHECK(errorKindOf([&] { pair.call("an order"); }) == SiblingError::Kind::NotAuthenticated);
         CHECK(handled == 0);
         CHECK(sent.find(secret) == std::string::npos);
         CHECK(sent.find("an order") == std::string::npos);
     }
 
-    TEST_CASE("recorded bytes of a sibling run nothing when they are sent again")
+    TEST_CASE("recorded bytes of a connection run no call when they are replayed")
     {
-        // Somebody on the network records a call and sends it once more. A reservation would be made twice.
+        // Guards against a replay attack: a recorded call sent again would make a reservation twice.
         int handled = 0;
-        Pair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
+        SiblingPair pair { [&](IncomingSiblingCall) -> asio::awaitable<std::string> {
             ++handled;
             co_return "";
         } };
@@ -410,29 +419,31 @@
         socket.connect({ asio::ip::address_v4::loopback(), pair.server->port() });
         asio::write(socket, asio::buffer(recorded));
         socket.shutdown(asio::ip::tcp::socket::shutdown_send);
-        // The server closes its end once it has read all of it.
+        // The server closes its end after it has read everything.
         runCoroutine(pair.context, readToEnd(socket));
         pair.context.restart();
         pair.context.poll();
         CHECK(handled == 1);
     }
 
-    TEST_CASE("an answer that was changed under way is not believed")
+    TEST_CASE("an answer modified in transit is rejected")
     {
-        // A middlebox or an attacker rewrites an answer; HTTP/2 alone would not notice.
-        Pair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> { co_return "bed 12 is free"; } };
+        // A middlebox or an attacker may rewrite an answer, which HTTP/2 alone does not detect.
+        SiblingPair pair { [](IncomingSiblingCall) -> asio::awaitable<std::string> {
+            co_return "bed 12 is free";
+        } };
         pair.relay.toClient = [](std::string& bytes) {
             if (const auto at = bytes.find("bed 12"); at != std::string::npos)
                 bytes[at + 4] = '9';
             return true;
         };
-        CHECK(kindOf([&] { pair.call("list"); }) == SiblingError::Kind::BadAnswer);
+        CHECK(errorKindOf([&] { pair.call("list"); }) == SiblingError::Kind::BadAnswer);
     }
 
-    TEST_CASE("what is no HTTP/2 ends its own connection only")
+    TEST_CASE("input that is not HTTP/2 closes only its own connection")
     {
-        // A port scanner, or a browser on the wrong port.
-        Pair pair { echo };
+        // A port scanner or a browser on the wrong port sends such input.
+        SiblingPair pair { echo };
         asio::ip::tcp::socket socket { pair.context };
         socket.connect({ asio::ip::address_v4::loopback(), pair.server->port() });
         asio::write(socket, asio::buffer(std::string { "GET / HTTP/1.1\r\nHost: sibling\r\n\r\n" }));
