--- a/include/cyclamendrift/configuration/configuration_trust.h
+++ b/include/cyclamendrift/configuration/configuration_trust.h
@@ -19,7 +19,7 @@
 [[nodiscard]] std::size_t quorumOf(std::size_t count) noexcept;
 
 /// The witnesses among the VMs of the platform's list, chosen by rendezvous hashing.
-[[nodiscard]] std::vector<VmName> chooseWitnesses(std::span<const VmName> listed);
+[[nodiscard]] std::vector<VmName> selectWitnesses(std::span<const VmName> listed);
 
 /// Whether this process may act on the configuration that it has: use its keys, and hand out of the limits
 /// that it owns. It may while the store, or a quorum of witnesses, said within the window that nothing newer
@@ -35,7 +35,7 @@
     };
 
     /// A witness held this sequence, and nothing higher, at a moment that is not earlier than `madeAt`.
-    struct Heard {
+    struct Statement {
         VmName witness;
         std::uint64_t sequence = 0;
         Instant madeAt;
@@ -50,10 +50,10 @@
     void setWitnesses(std::vector<VmName> names);
 
     /// The store held `sequence` at a moment that is not earlier than `asked`.
-    void onStoreRead(std::uint64_t sequence, Instant asked);
+    void onStoreRead(std::uint64_t sequence, Instant requestedAt);
 
     /// Takes what a witness said; older news than what is known, and news of others, are dropped.
-    void onStatement(const Heard& heard);
+    void onStatement(const Statement& witnessStatement);
 
     /// When this process must stop acting on the configuration with `sequence`; in the past if it never
     /// might.
@@ -63,7 +63,7 @@
     [[nodiscard]] bool isAccepted(std::uint64_t sequence) const;
 
     /// All that is known of the witnesses, to be passed on.
-    [[nodiscard]] std::vector<Heard> statements() const;
+    [[nodiscard]] std::vector<Statement> statements() const;
 
     /// The witnesses of now.
     [[nodiscard]] const std::vector<VmName>& witnesses() const noexcept { return this->names; }
@@ -74,12 +74,12 @@
 private:
     struct StoreRead {
         std::uint64_t sequence = 0;
-        Instant asked = Instant::min();
+        Instant requestedAt = Instant::min();
     };
 
     Options options;
     std::vector<VmName> names;
-    std::map<VmName, Heard> heard;
+    std::map<VmName, Statement> witnessStatement;
     /// Asked at the least of times until the store was read.
     StoreRead storeRead;
 };
--- a/include/cyclamendrift/configuration/configuration_writer.h
+++ b/include/cyclamendrift/configuration/configuration_writer.h
@@ -13,7 +13,7 @@
 namespace cyclamendrift {
 
 /// How many changes a document remembers by their ids.
-inline constexpr int rememberedChanges = 256;
+inline constexpr int maxRecentChanges = 256;
 
 /// Read the document from the store.
 struct ReadDocument { };
--- a/src/configuration/configuration_edit.cpp
+++ b/src/configuration/configuration_edit.cpp
@@ -13,7 +13,7 @@
 
 using google::protobuf::util::MessageDifferencer;
 
-std::string conflictText(const ReplaceSchema& edit, const wire::ConfigurationDocument& document)
+std::string describeConflict(const ReplaceSchema& edit, const wire::ConfigurationDocument& document)
 {
     std::string text = "revision " + std::to_string(document.revision()) + " is in force, not "
         + std::to_string(edit.expectedRevision) + "; from it to the schema sent:";
@@ -30,9 +30,9 @@
 }
 
 /// One overload for each kind of change.
-class Editor {
+class EditVisitor {
 public:
-    explicit Editor(wire::ConfigurationDocument& document)
+    explicit EditVisitor(wire::ConfigurationDocument& document)
         : document(document)
     {
     }
@@ -40,8 +40,8 @@
     bool operator()(const ReplaceSchema& edit) const
     {
         if (edit.expectedRevision != this->document.revision())
-            throw EditError { EditError::Kind::Conflict, conflictText(edit, this->document) };
-        return this->replace(edit.schema);
+            throw EditError { EditError::Kind::Conflict, describeConflict(edit, this->document) };
+        return this->replaceSchema(edit.schema);
     }
 
     bool operator()(const GrantKey& edit) const
@@ -52,7 +52,7 @@
                 return false;
         }
         *schema.add_keys() = edit.key;
-        return this->replace(schema);
+        return this->replaceSchema(schema);
     }
 
     bool operator()(const RevokeKey& edit) const
@@ -76,19 +76,19 @@
             throw EditError { EditError::Kind::Invalid, "there is no team \"" + edit.team + '"' };
         match->set_rate_per_second(edit.ratePerSecond);
         match->set_burst(edit.burst);
-        return this->replace(schema);
+        return this->replaceSchema(schema);
     }
 
     bool operator()(const MoveShards& edit) const
     {
         bool changed = false;
         for (const auto& shard : edit.shards)
-            changed = this->move(shard) || changed;
+            changed = this->moveShard(shard) || changed;
         return changed;
     }
 
 private:
-    bool replace(const api::Schema& schema) const
+    bool replaceSchema(const api::Schema& schema) const
     {
         requireValid(schema);
         if (MessageDifferencer::Equals(schema, this->document.schema()))
@@ -99,7 +99,7 @@
 
     /// A shard moves only from the owner that the mover knew. Two movers that disagree would otherwise undo
     /// each other's work, and each would wait anew before anybody hands out.
-    bool move(const wire::LimitShard& shard) const
+    bool moveShard(const wire::LimitShard& shard) const
     {
         for (auto& current : *this->document.mutable_limit_shards()) {
             if (current.team() != shard.team() || current.index() != shard.index())
@@ -122,7 +122,7 @@
 
 bool applyEdit(const ConfigurationEdit& edit, wire::ConfigurationDocument& document)
 {
-    return std::visit(Editor { document }, edit);
+    return std::visit(EditVisitor { document }, edit);
 }
 
 } // namespace cyclamendrift
--- a/src/configuration/configuration_state.cpp
+++ b/src/configuration/configuration_state.cpp
@@ -23,9 +23,9 @@
     std::vector<KeyId> withdrawn;
     for (const auto& key : before.keys()) {
         const auto match = granted.find(key.id());
-        const bool stands = match != granted.end() && match->second->team() == key.team()
+        const bool isStillGranted = match != granted.end() && match->second->team() == key.team()
             && match->second->secret_hash() == key.secret_hash();
-        if (!stands)
+        if (!isStillGranted)
             withdrawn.emplace_back(key.id());
     }
     return withdrawn;
--- a/src/configuration/configuration_trust.cpp
+++ b/src/configuration/configuration_trust.cpp
@@ -14,7 +14,7 @@
     return (count + 1) / 2 + 1;
 }
 
-std::vector<VmName> chooseWitnesses(std::span<const VmName> listed)
+std::vector<VmName> selectWitnesses(std::span<const VmName> listed)
 {
     std::vector<OwnerCandidate> candidates;
     candidates.reserve(listed.size());
@@ -30,21 +30,22 @@
 void ConfigurationTrust::setWitnesses(std::vector<VmName> witnesses)
 {
     this->names = std::move(witnesses);
-    std::erase_if(this->heard, [this](const auto& entry) { return !this->isWitness(entry.first); });
+    std::erase_if(
+        this->witnessStatement, [this](const auto& entry) { return !this->isWitness(entry.first); });
 }
 
-void ConfigurationTrust::onStoreRead(std::uint64_t sequence, Instant asked)
+void ConfigurationTrust::onStoreRead(std::uint64_t sequence, Instant requestedAt)
 {
-    if (this->storeRead.asked >= asked)
+    if (this->storeRead.requestedAt >= requestedAt)
         return;
-    this->storeRead = { .sequence = sequence, .asked = asked };
+    this->storeRead = { .sequence = sequence, .requestedAt = requestedAt };
 }
 
-void ConfigurationTrust::onStatement(const Heard& statement)
+void ConfigurationTrust::onStatement(const Statement& statement)
 {
     if (!this->isWitness(statement.witness))
         return;
-    auto& known = this->heard[statement.witness];
+    auto& known = this->witnessStatement[statement.witness];
     if (known.witness.empty()) {
         known = statement;
         return;
@@ -61,9 +62,9 @@
 {
     auto confirmed = Instant::min();
     if (this->storeRead.sequence <= sequence)
-        confirmed = this->storeRead.asked;
+        confirmed = this->storeRead.requestedAt;
     std::vector<Instant> times;
-    for (const auto& [vm, statement] : this->heard) {
+    for (const auto& [vm, statement] : this->witnessStatement) {
         if (statement.sequence <= sequence)
             times.push_back(statement.madeAt);
     }
@@ -79,16 +80,16 @@
 
 bool ConfigurationTrust::isAccepted(std::uint64_t sequence) const
 {
-    const auto holders = std::count_if(this->heard.begin(), this->heard.end(),
+    const auto holders = std::count_if(this->witnessStatement.begin(), this->witnessStatement.end(),
         [sequence](const auto& entry) { return entry.second.sequence >= sequence; });
     return !this->names.empty() && static_cast<std::size_t>(holders) >= quorumOf(this->names.size());
 }
 
-std::vector<ConfigurationTrust::Heard> ConfigurationTrust::statements() const
+std::vector<ConfigurationTrust::Statement> ConfigurationTrust::statements() const
 {
-    std::vector<Heard> all;
-    all.reserve(this->heard.size());
-    for (const auto& [vm, statement] : this->heard)
+    std::vector<Statement> all;
+    all.reserve(this->witnessStatement.size());
+    for (const auto& [vm, statement] : this->witnessStatement)
         all.push_back(statement);
     return all;
 }
--- a/src/configuration/configuration_writer.cpp
+++ b/src/configuration/configuration_writer.cpp
@@ -6,19 +6,19 @@
 
 namespace {
 
-ChangeFailed::Kind kindFrom(EditError::Kind kind) noexcept
+ChangeFailed::Kind toFailureKind(EditError::Kind kind) noexcept
 {
     return kind == EditError::Kind::Conflict ? ChangeFailed::Kind::Conflict : ChangeFailed::Kind::Invalid;
 }
 
-void remember(wire::ConfigurationDocument& document, const std::string& changeId)
+void recordChange(wire::ConfigurationDocument& document, const std::string& changeId)
 {
     auto& changes = *document.mutable_recent_changes();
     auto* change = changes.Add();
     change->set_change_id(changeId);
     change->set_revision(document.revision());
-    if (changes.size() > rememberedChanges)
-        changes.DeleteSubrange(0, changes.size() - rememberedChanges);
+    if (changes.size() > maxRecentChanges)
+        changes.DeleteSubrange(0, changes.size() - maxRecentChanges);
 }
 
 } // namespace
@@ -59,7 +59,9 @@
         // A swap that is still under way somewhere can no longer take effect once the store has moved on, but
         // this process cannot tell that from a store that has not moved yet.
         const auto outcome = this->swapUnknown ? Outcome::Unknown : Outcome::NotRun;
-        return ChangeFailed { .kind = kindFrom(error.kind()), .outcome = outcome, .message = error.what() };
+        return ChangeFailed {
+            .kind = toFailureKind(error.kind()), .outcome = outcome, .message = error.what()
+        };
     }
 }
 
@@ -78,7 +80,7 @@
     next->set_change_id(this->options.changeId);
     if (!std::holds_alternative<MoveShards>(this->options.edit)) {
         next->set_revision(next->revision() + 1);
-        remember(*next, this->options.changeId);
+        recordChange(*next, this->options.changeId);
     }
     if (this->options.finish)
         this->options.finish(*next);
--- a/src/proxy/fleet_configuration.cpp
+++ b/src/proxy/fleet_configuration.cpp
@@ -59,7 +59,7 @@
 void FleetConfiguration::setListed(std::span<const VmName> listed)
 {
     this->listedCount = listed.size();
-    this->trust.setWitnesses(chooseWitnesses(listed));
+    this->trust.setWitnesses(selectWitnesses(listed));
     if (!this->listKnown)
         this->nextPeriodicRead = this->context->now() + this->context->jittered(this->periodicInterval());
     this->listKnown = true;
--- a/tests/configuration/configuration_trust_test.cpp
+++ b/tests/configuration/configuration_trust_test.cpp
@@ -41,8 +41,8 @@
         checkProperty("quorum intersection", [] {
             const auto count = *rc::gen::inRange<std::size_t>(4, 40);
             const auto vms = makeVms(count);
-            const auto left = chooseWitnesses(std::span { vms }.first(count - 1));
-            const auto right = chooseWitnesses(vms);
+            const auto left = selectWitnesses(std::span { vms }.first(count - 1));
+            const auto right = selectWitnesses(vms);
             std::set<VmName> all { left.begin(), left.end() };
             all.insert(right.begin(), right.end());
             RC_ASSERT(quorumOf(left.size()) + quorumOf(right.size()) > all.size());
@@ -110,7 +110,7 @@
     TEST_CASE("change ids are remembered boundedly")
     {
         DocumentPointer document = makeDocument(1);
-        for (int i = 0; i < rememberedChanges + 10; ++i) {
+        for (int i = 0; i < maxRecentChanges + 10; ++i) {
             api::Schema schema;
             auto& team = *schema.add_teams();
             team.set_name("t");
@@ -122,6 +122,6 @@
             REQUIRE(std::holds_alternative<SwapDocument>(action));
             document = std::get<SwapDocument>(action).document;
         }
-        CHECK(document->recent_changes_size() == rememberedChanges);
+        CHECK(document->recent_changes_size() == maxRecentChanges);
     }
 }
