--- a/include/cyclamendrift/configuration/configuration_edit.h
+++ b/include/cyclamendrift/configuration/configuration_edit.h
@@ -12,7 +12,7 @@
 
 namespace cyclamendrift {
 
-/// Puts a whole schema in force if the revision is still the one that its author started from.
+/// Replaces the whole schema if the document is still at the revision that the author edited.
 struct ReplaceSchema {
     std::uint64_t expectedRevision = 0;
     api::Schema schema;
@@ -31,20 +31,20 @@
     double ratePerSecond = 0;
     std::uint32_t burst = 0;
 };
-/// Gives shards of limits to other owners; no change of the schema.
+/// Assigns limit shards to other owners; the schema stays as it is.
 struct MoveShards {
     std::vector<wire::LimitShard> shards;
 };
-/// What a change does to the document.
+/// One change to the content of the configuration document.
 using ConfigurationEdit = std::variant<ReplaceSchema, GrantKey, RevokeKey, ChangeLimits, MoveShards>;
 
-/// The change does not apply to the document as it stands.
+/// Thrown when a change cannot be applied to the current document.
 class EditError : public Error {
 public:
     enum class Kind : std::uint8_t {
-        /// The result would not be valid, or names something that does not exist.
+        /// The resulting schema would be invalid, or the change refers to an object that does not exist.
         Invalid,
-        /// Another change came first; the message gives the differences line by line.
+        /// Another change was applied first; the message lists the differences line by line.
         Conflict,
     };
 
@@ -54,15 +54,15 @@
     {
     }
 
-    /// Why it does not apply.
+    /// The reason why the change cannot be applied.
     [[nodiscard]] Kind kind() const noexcept { return this->errorKind; }
 
 private:
     Kind errorKind;
 };
 
-/// Applies a change to the content of a document, leaving its counters alone; false when everything already
-/// stands as the change wants it. Throws EditError.
+/// Applies a change to the content of a document without touching its counters. Returns false if the document
+/// already has the requested content. Throws EditError.
 [[nodiscard]] bool applyEdit(const ConfigurationEdit& edit, wire::ConfigurationDocument& document);
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/configuration/configuration_state.h
+++ b/include/cyclamendrift/configuration/configuration_state.h
@@ -10,23 +10,23 @@
 
 namespace cyclamendrift {
 
-/// A document of the store that is never changed once read.
+/// Shared pointer to a configuration document that is immutable once read from the store.
 using DocumentPointer = std::shared_ptr<const wire::ConfigurationDocument>;
 
-/// The newest configuration that this process has seen. Only a higher sequence replaces it, so messages that
-/// are replayed, doubled or late change nothing.
+/// Holds the newest configuration that this process has seen. Only a document with a higher sequence replaces
+/// it, so replayed, duplicate and late messages have no effect.
 ///
 ///     if (state.offer(document))
 ///         publish(state.document());
 class ConfigurationState {
 public:
-    /// Takes the document if its sequence is higher than the one held; false when it is not.
+    /// Accepts the document if its sequence is higher than the current one; returns false otherwise.
     bool offer(DocumentPointer document);
 
-    /// The document held; null before the first.
+    /// The current document; null before the first one is accepted.
     [[nodiscard]] const DocumentPointer& document() const noexcept { return this->current; }
 
-    /// The sequence held, 0 before the first document.
+    /// The sequence of the current document; 0 before the first one is accepted.
     [[nodiscard]] std::uint64_t sequence() const noexcept
     {
         return this->current ? this->current->sequence() : 0;
@@ -36,7 +36,7 @@
     DocumentPointer current;
 };
 
-/// The keys of one schema that another no longer grants to the same team with the same secret.
+/// Returns the keys of `before` that `after` no longer grants to the same team with the same secret.
 [[nodiscard]] std::vector<KeyId> withdrawnKeys(const api::Schema& before, const api::Schema& after);
 
 } // namespace cyclamendrift
--- a/include/cyclamendrift/configuration/configuration_trust.h
+++ b/include/cyclamendrift/configuration/configuration_trust.h
@@ -11,30 +11,32 @@
 
 namespace cyclamendrift {
 
-/// Most witnesses that a fleet has, whatever its size.
+/// Upper bound on the number of witnesses of a fleet of any size.
 inline constexpr std::size_t maxWitnesses = 9;
 
-/// How many of `count` witnesses make a quorum: enough that two processes whose lists differ by one VM
-/// either way still have a witness in common.
+/// Returns how many of `count` witnesses form a quorum. Quorums of two processes share at least one witness
+/// even if their VM lists differ by one VM, added or removed.
 [[nodiscard]] std::size_t quorumOf(std::size_t count) noexcept;
 
-/// The witnesses among the VMs of the platform's list, chosen by rendezvous hashing.
+/// Selects the witnesses from the platform's VM list by rendezvous hashing.
 [[nodiscard]] std::vector<VmName> selectWitnesses(std::span<const VmName> listed);
 
-/// Whether this process may act on the configuration that it has: use its keys, and hand out of the limits
-/// that it owns. It may while the store, or a quorum of witnesses, said within the window that nothing newer
-/// had been accepted. A change counts as accepted once a quorum of witnesses holds it. Any two quorums share
-/// a witness, so after acceptance no process acts on the older configuration for longer than the window.
+/// Decides whether this process may act on its configuration, that is, use its keys and grant tokens from the
+/// limits that it owns. It may do so if the store, or a quorum of witnesses, confirmed within the window that
+/// nothing newer had been accepted. A change is accepted once a quorum of witnesses holds it. Any two quorums
+/// share a witness, so after acceptance no process acts on the older configuration for longer than the
+/// window.
 ///
-///     trust.onStatement({ .witness = vm, .sequence = 7, .madeAt = asked });
-///     trust.trustedUntil(7); // when this process has to stop unless it hears more
+///     trust.onStatement({ .witness = vm, .sequence = 7, .madeAt = requestedAt });
+///     trust.trustedUntil(7); // when this process has to stop without further confirmation
 class ConfigurationTrust {
 public:
     struct Options {
+        /// How long one confirmation allows this process to act on its configuration.
         Duration window = std::chrono::seconds { 6 };
     };
 
-    /// A witness held this sequence, and nothing higher, at a moment that is not earlier than `madeAt`.
+    /// States that a witness held this sequence and no higher one at some time not earlier than `madeAt`.
     struct Statement {
         VmName witness;
         std::uint64_t sequence = 0;
@@ -46,29 +48,30 @@
     {
     }
 
-    /// Replaces the witnesses; what those who stay said is kept.
+    /// Replaces the witnesses; the statements of those that remain are kept.
     void setWitnesses(std::vector<VmName> names);
 
-    /// The store held `sequence` at a moment that is not earlier than `asked`.
+    /// Records that the store held `sequence` at some time not earlier than `requestedAt`.
     void onStoreRead(std::uint64_t sequence, Instant requestedAt);
 
-    /// Takes what a witness said; older news than what is known, and news of others, are dropped.
+    /// Records a witness's statement. A statement that is older than the recorded one, or that comes from a
+    /// VM that is not a witness, is ignored.
     void onStatement(const Statement& witnessStatement);
 
-    /// When this process must stop acting on the configuration with `sequence`; in the past if it never
-    /// might.
+    /// Returns when this process must stop acting on the configuration with `sequence`; Instant::min() if
+    /// nothing has confirmed it.
     [[nodiscard]] Instant trustedUntil(std::uint64_t sequence) const;
 
-    /// True when a quorum of witnesses is known to hold `sequence` or a higher one.
+    /// Returns true if a quorum of witnesses is known to hold `sequence` or a higher one.
     [[nodiscard]] bool isAccepted(std::uint64_t sequence) const;
 
-    /// All that is known of the witnesses, to be passed on.
+    /// Returns the latest statement of each witness, for forwarding to siblings.
     [[nodiscard]] std::vector<Statement> statements() const;
 
-    /// The witnesses of now.
+    /// The current witnesses.
     [[nodiscard]] const std::vector<VmName>& witnesses() const noexcept { return this->names; }
 
-    /// True when a VM is a witness.
+    /// Returns true if the VM is a current witness.
     [[nodiscard]] bool isWitness(const VmName& vm) const;
 
 private:
@@ -80,7 +83,7 @@
     Options options;
     std::vector<VmName> names;
     std::map<VmName, Statement> witnessStatement;
-    /// Asked at the least of times until the store was read.
+    /// Its `requestedAt` is Instant::min() until the first store read.
     StoreRead storeRead;
 };
 
--- a/include/cyclamendrift/configuration/configuration_writer.h
+++ b/include/cyclamendrift/configuration/configuration_writer.h
@@ -12,45 +12,45 @@
 
 namespace cyclamendrift {
 
-/// How many changes a document remembers by their ids.
+/// Maximum number of recent change ids that a document keeps to recognize repeated changes.
 inline constexpr int maxRecentChanges = 256;
 
-/// Read the document from the store.
+/// Requests a read of the document from the store.
 struct ReadDocument { };
-/// Swap the document if the store still has it at this revision.
+/// Requests a compare-and-swap of the document, provided that the store still has it at this revision.
 struct SwapDocument {
     std::uint64_t expectedStoreRevision = 0;
     DocumentPointer document;
 };
-/// The change is in the store.
+/// Result of a change that is in the store.
 struct ChangeDone {
-    /// Sequence from which on the change is in force.
+    /// Sequence from which the change is in force.
     std::uint64_t sequence = 0;
     std::uint64_t revision = 0;
-    /// True when an earlier try had already made it, or nothing had to change.
+    /// True if an earlier attempt had already applied the change, or nothing had to change.
     bool alreadyApplied = false;
-    /// The newest document read or written.
+    /// The document that was last read or written.
     DocumentPointer document;
 };
-/// The change was given up.
+/// Result of a change that was abandoned.
 struct ChangeFailed {
     enum class Kind : std::uint8_t { Invalid, Conflict, StoreUnavailable };
     Kind kind = Kind::StoreUnavailable;
-    /// NotRun, or Unknown when a swap was sent and its answer lost.
+    /// NotRun, or Unknown if a swap was sent and its answer was lost.
     Outcome outcome = Outcome::NotRun;
     std::string message;
 };
-/// What the writer wants done next.
+/// The caller's next step: a store request to make, or the final result.
 using WriterAction = std::variant<ReadDocument, SwapDocument, ChangeDone, ChangeFailed>;
 
-/// A document as the store has it.
+/// A document with its revision in the store.
 struct StoredDocument {
     std::uint64_t storeRevision = 0;
     DocumentPointer document;
 };
 
-/// Takes one change through the store by compare-and-swap. Knows nothing of time or sockets: it is told what
-/// the store answered and says what to do next, until ChangeDone or ChangeFailed.
+/// Writes one change to the store by compare-and-swap. A state machine without clock or I/O: its functions
+/// receive the store's answers and return the next action, until ChangeDone or ChangeFailed.
 ///
 ///     ConfigurationWriter writer { { .changeId = "c1", .author = "vm1", .edit = RevokeKey { "k1" } } };
 ///     auto action = writer.start(); // ReadDocument
@@ -59,27 +59,27 @@
 class ConfigurationWriter {
 public:
     struct Options {
-        /// Empty for a change that needs no recognition because making it twice changes nothing.
+        /// Id by which a repeated change is recognized; empty for an idempotent change.
         std::string changeId;
         std::string author;
         ConfigurationEdit edit;
-        /// Called on every new document before it is written; may assign owners to shards.
+        /// Called on each new document before it is written; may assign owners to limit shards.
         std::function<void(wire::ConfigurationDocument&)> finish;
     };
 
     explicit ConfigurationWriter(Options options);
 
-    /// The first thing to do.
+    /// Returns the first action.
     [[nodiscard]] WriterAction start() const;
 
-    /// The store's document; empty when it has none.
+    /// Handles the document read from the store; `stored` is empty if the store has none.
     [[nodiscard]] WriterAction onRead(const std::optional<StoredDocument>& stored);
 
-    /// The swap took place.
+    /// Handles a successful swap.
     [[nodiscard]] WriterAction onSwapped() const;
 
-    /// A call got no answer, or was refused before it had an effect (`sent` false). Gives up when `mayRetry`
-    /// is false.
+    /// Handles a store call that got no answer, or that was refused before it had an effect (`sent` is
+    /// false). Returns ChangeFailed if `mayRetry` is false.
     [[nodiscard]] WriterAction onStoreFailure(bool sent, bool mayRetry);
 
 private:
@@ -89,7 +89,7 @@
     Options options;
     DocumentPointer written;
     bool swapInFlight = false;
-    /// True from the first swap whose answer was lost.
+    /// True once the answer to any swap was lost.
     bool swapUnknown = false;
 };
 
--- a/include/cyclamendrift/configuration/key_ring.h
+++ b/include/cyclamendrift/configuration/key_ring.h
@@ -11,14 +11,14 @@
 
 namespace cyclamendrift {
 
-/// A key and the team that it speaks for.
+/// A key and the team that it authenticates.
 struct KeyOwner {
     KeyId key;
     TeamName team;
 };
 
-/// The keys of one revision of the configuration, found by the hash of their secret. Never changed after it
-/// was made, so any thread may read it.
+/// Index of the keys of one configuration revision by the hash of their secret. Immutable after construction,
+/// so any thread may read it.
 ///
 ///     const KeyRing ring { schema };
 ///     const auto owner = ring.find(hashSecret("the secret"));
@@ -27,7 +27,7 @@
     KeyRing() = default;
     explicit KeyRing(const api::Schema& schema);
 
-    /// The owner of a secret's hash; empty when there is no such key.
+    /// Returns the key with this secret hash and its team; empty if there is no such key.
     [[nodiscard]] std::optional<KeyOwner> find(std::string_view secretHash) const;
 
     /// The number of keys.
--- a/src/configuration/configuration_edit.cpp
+++ b/src/configuration/configuration_edit.cpp
@@ -16,7 +16,7 @@
 std::string describeConflict(const ReplaceSchema& edit, const wire::ConfigurationDocument& document)
 {
     std::string text = "revision " + std::to_string(document.revision()) + " is in force, not "
-        + std::to_string(edit.expectedRevision) + "; from it to the schema sent:";
+        + std::to_string(edit.expectedRevision) + "; differences from it to the submitted schema:";
     for (const auto& line : schemaDifference(document.schema(), edit.schema))
         text.append("\n").append(line);
     return text;
@@ -29,7 +29,7 @@
         throw EditError { EditError::Kind::Invalid, joinProblems(problems) };
 }
 
-/// One overload for each kind of change.
+/// Visitor with one overload for each kind of change.
 class EditVisitor {
 public:
     explicit EditVisitor(wire::ConfigurationDocument& document)
@@ -97,8 +97,9 @@
         return true;
     }
 
-    /// A shard moves only from the owner that the mover knew. Two movers that disagree would otherwise undo
-    /// each other's work, and each would wait anew before anybody hands out.
+    /// Moves a shard only if its epoch is still the one that the requester knew. Otherwise two requesters
+    /// that disagree would undo each other's moves, and each move restarts the wait before the new owner may
+    /// grant tokens.
     bool moveShard(const wire::LimitShard& shard) const
     {
         for (auto& current : *this->document.mutable_limit_shards()) {
--- a/src/configuration/configuration_state.cpp
+++ b/src/configuration/configuration_state.cpp
@@ -7,8 +7,8 @@
 
 bool ConfigurationState::offer(DocumentPointer document)
 {
-    // A replayed or late message carries what was in force once; taking it would bring back a withdrawn key,
-    // and the operator who withdrew it would see it work again.
+    // A replayed or late message carries a superseded configuration. Accepting it would make a withdrawn key
+    // valid again after an operator has withdrawn it.
     if (!document || document->sequence() <= this->sequence())
         return false;
     this->current = std::move(document);
--- a/src/configuration/configuration_trust.cpp
+++ b/src/configuration/configuration_trust.cpp
@@ -18,7 +18,8 @@
 {
     std::vector<OwnerCandidate> candidates;
     candidates.reserve(listed.size());
-    // One zone for all: witnesses are chosen by weight alone, so that a change of the list moves at most one.
+    // All candidates get the same availability zone, so that witnesses are selected by hash weight alone and
+    // a change of the list by one VM replaces at most one witness.
     for (const auto& vm : listed)
         candidates.push_back({ .vm = vm, .zone = ZoneName {} });
     std::vector<VmName> names;
@@ -50,8 +51,8 @@
         known = statement;
         return;
     }
-    // A higher sequence is newer whatever the ages say; ages that passed through several processes are only
-    // upper bounds.
+    // A higher sequence is always newer, whatever the times say: an age that was forwarded by several
+    // processes is only an upper bound.
     const bool newer = statement.sequence > known.sequence
         || (statement.sequence == known.sequence && statement.madeAt > known.madeAt);
     if (newer)
@@ -70,7 +71,8 @@
     }
     const auto quorum = quorumOf(this->names.size());
     if (!this->names.empty() && times.size() >= quorum) {
-        // The oldest of the freshest quorum decides: the quorum stands only as long as all of it does.
+        // The oldest of the `quorum` latest statements decides, because the quorum confirms the configuration
+        // only while each of its statements is within the window.
         const auto last = times.begin() + static_cast<std::ptrdiff_t>(quorum - 1);
         std::nth_element(times.begin(), last, times.end(), std::greater<> {});
         confirmed = std::max(confirmed, *last);
--- a/src/configuration/configuration_writer.cpp
+++ b/src/configuration/configuration_writer.cpp
@@ -47,8 +47,8 @@
 WriterAction ConfigurationWriter::onRead(const std::optional<StoredDocument>& stored)
 {
     this->swapInFlight = false;
-    // After a lost answer the operator saw no result, and the swap may have taken effect all the same. The id
-    // in the document tells; without looking for it the change would be made twice.
+    // After a lost answer the operator saw no result although the swap may have taken effect. The change id
+    // in the document shows whether it did; without this check the change would be applied twice.
     if (stored) {
         if (auto done = this->findApplied(stored->document))
             return *std::move(done);
@@ -56,8 +56,8 @@
     try {
         return this->prepareSwap(stored);
     } catch (const EditError& error) {
-        // A swap that is still under way somewhere can no longer take effect once the store has moved on, but
-        // this process cannot tell that from a store that has not moved yet.
+        // A swap still in progress can no longer take effect once the store's revision has changed, but this
+        // process cannot tell that from a store whose revision has not changed yet.
         const auto outcome = this->swapUnknown ? Outcome::Unknown : Outcome::NotRun;
         return ChangeFailed {
             .kind = toFailureKind(error.kind()), .outcome = outcome, .message = error.what()
@@ -105,7 +105,7 @@
         return ReadDocument {};
     return ChangeFailed { .kind = ChangeFailed::Kind::StoreUnavailable,
         .outcome = this->swapUnknown ? Outcome::Unknown : Outcome::NotRun,
-        .message = "the configuration store did not answer" };
+        .message = "the configuration store was unreachable or did not answer" };
 }
 
 } // namespace cyclamendrift
--- a/src/configuration/key_ring.cpp
+++ b/src/configuration/key_ring.cpp
@@ -12,7 +12,7 @@
 
 std::optional<KeyOwner> KeyRing::find(std::string_view secretHash) const
 {
-    // The hash, not the secret, is looked up: how long that takes tells nothing about any secret.
+    // Looks up the hash rather than the secret, so that the lookup time reveals nothing about any secret.
     const auto match = this->owners.find(std::string { secretHash });
     if (match == this->owners.end())
         return std::nullopt;
--- a/tests/configuration/configuration_trust_test.cpp
+++ b/tests/configuration/configuration_trust_test.cpp
@@ -34,11 +34,12 @@
 
 TEST_SUITE("configuration trust")
 {
-    // Two VMs have lists that differ by one VM, because the platform's list lags. If their quorums had no
-    // witness in common, one could take a withdrawal for accepted while the other still trusts the key.
+    // The lists of two VMs can differ by one VM because the platform's list lags. If their quorums had no
+    // witness in common, one VM could regard the withdrawal of a key as accepted while the other still trusts
+    // the key.
     TEST_CASE("quorums over lists that differ by one VM have a witness in common")
     {
-        checkProperty("quorum intersection", [] {
+        checkProperty("quorums of lists that differ by one VM intersect", [] {
             const auto count = *rc::gen::inRange<std::size_t>(4, 40);
             const auto vms = makeVms(count);
             const auto left = selectWitnesses(std::span { vms }.first(count - 1));
@@ -49,7 +50,8 @@
         });
     }
 
-    TEST_CASE("trust lasts one window from the oldest of the freshest quorum")
+    // Counting from the latest statement would trust a configuration after the quorum has expired.
+    TEST_CASE("trust expires one window after the oldest statement of the latest quorum")
     {
         ConfigurationTrust trust { {} };
         const auto vms = makeVms(5);
@@ -62,7 +64,9 @@
         CHECK(trust.trustedUntil(7) == start + 6s);
     }
 
-    TEST_CASE("a witness that knows of something newer confirms nothing older")
+    // A forwarded statement with an earlier time but a higher sequence must still end the trust in the old
+    // one.
+    TEST_CASE("a witness that holds a higher sequence does not confirm a lower one")
     {
         ConfigurationTrust trust { {} };
         const auto vms = makeVms(3);
@@ -75,7 +79,8 @@
         CHECK(!trust.isAccepted(9));
     }
 
-    TEST_CASE("a lower or equal sequence changes nothing")
+    // A replayed document would make withdrawn keys valid again.
+    TEST_CASE("a document with a lower or equal sequence is not accepted")
     {
         ConfigurationState state;
         CHECK(state.offer(makeDocument(5)));
@@ -87,7 +92,8 @@
 
 TEST_SUITE("configuration writer")
 {
-    TEST_CASE("giving up after a lost answer says that the outcome is unknown")
+    // The lost swap may have taken effect, so reporting NotRun would invite a second application.
+    TEST_CASE("giving up after a lost swap answer reports an unknown outcome")
     {
         ConfigurationEdit edit = MoveShards { .shards = { wire::LimitShard {} } };
         ConfigurationWriter mover { { .changeId = "c", .edit = std::move(edit) } };
@@ -99,6 +105,7 @@
         CHECK(std::get<ChangeFailed>(last).outcome == Outcome::Unknown);
     }
 
+    // Reporting Unknown before any swap would leave the operator in doubt for no reason.
     TEST_CASE("a change that was never sent is reported as not run")
     {
         ConfigurationWriter writer { { .changeId = "c", .edit = RevokeKey { "k" } } };
@@ -107,7 +114,8 @@
         CHECK(std::get<ChangeFailed>(last).outcome == Outcome::NotRun);
     }
 
-    TEST_CASE("change ids are remembered boundedly")
+    // Without the bound the document would grow with every change.
+    TEST_CASE("a document keeps at most maxRecentChanges change ids")
     {
         DocumentPointer document = makeDocument(1);
         for (int i = 0; i < maxRecentChanges + 10; ++i) {
