--- a/src/configuration/configuration_edit.cpp
+++ b/src/configuration/configuration_edit.cpp
@@ -13,10 +13,10 @@
 
 using google::protobuf::util::MessageDifferencer;
 
-std::string conflictText(const ReplaceSchema& edit, const wire::ConfigurationDocument& document)
+std::string describeConflict(const ReplaceSchema& edit, const wire::ConfigurationDocument& document)
 {
     std::string text = "revision " + std::to_string(document.revision()) + " is in force, not "
-        + std::to_string(edit.expectedRevision) + "; from it to the schema sent:";
+        + std::to_string(edit.expectedRevision) + "; differences from it to the submitted schema:";
     for (const auto& line : schemaDifference(document.schema(), edit.schema))
         text.append("\n").append(line);
     return text;
@@ -29,10 +29,10 @@
         throw EditError { EditError::Kind::Invalid, joinProblems(problems) };
 }
 
-/// One overload for each kind of change.
-class Editor {
+/// Visitor with one overload for each kind of change.
+class EditVisitor {
 public:
-    explicit Editor(wire::ConfigurationDocument& document)
+    explicit EditVisitor(wire::ConfigurationDocument& document)
         : document(document)
     {
     }
@@ -40,8 +40,8 @@
     bool operator()(const ReplaceSchema& edit) const
     {
         if (edit.expectedRevision != this->document.revision())
-            throw EditError { EditError::Kind::Conflict, conflictText(edit, this->document) };
-        return this->replace(edit.schema);
+            throw EditError { EditError::Kind::Conflict, describeConflict(edit, this->document) };
+        return this->replaceSchema(edit.schema);
     }
 
     bool operator()(const GrantKey& edit) const
@@ -52,7 +52,7 @@
                 return false;
         }
         *schema.add_keys() = edit.key;
-        return this->replace(schema);
+        return this->replaceSchema(schema);
     }
 
     bool operator()(const RevokeKey& edit) const
@@ -76,19 +76,19 @@
             throw EditError { EditError::Kind::Invalid, "there is no team \"" + edit.team + '"' };
         match->set_rate_per_second(edit.ratePerSecond);
         match->set_burst(edit.burst);
-        return this->replace(schema);
+        return this->replaceSchema(schema);
     }
 
     bool operator()(const MoveShards& edit) const
     {
         bool changed = false;
         for (const auto& shard : edit.shards)
-            changed = this->move(shard) || changed;
+            changed = this->moveShard(shard) || changed;
         return changed;
     }
 
 private:
-    bool replace(const api::Schema& schema) const
+    bool replaceSchema(const api::Schema& schema) const
     {
         requireValid(schema);
         if (MessageDifferencer::Equals(schema, this->document.schema()))
@@ -97,9 +97,10 @@
         return true;
     }
 
-    /// A shard moves only from the owner that the mover knew. Two movers that disagree would otherwise undo
-    /// each other's work, and each would wait anew before anybody hands out.
-    bool move(const wire::LimitShard& shard) const
+    /// Moves a shard only if its epoch is still the one that the requester knew. Otherwise two requesters
+    /// that disagree would undo each other's moves, and each move restarts the wait before the new owner may
+    /// grant tokens.
+    bool moveShard(const wire::LimitShard& shard) const
     {
         for (auto& current : *this->document.mutable_limit_shards()) {
             if (current.team() != shard.team() || current.index() != shard.index())
@@ -122,7 +123,7 @@
 
 bool applyEdit(const ConfigurationEdit& edit, wire::ConfigurationDocument& document)
 {
-    return std::visit(Editor { document }, edit);
+    return std::visit(EditVisitor { document }, edit);
 }
 
 } // namespace cyclamendrift
--- a/src/configuration/configuration_state.cpp
+++ b/src/configuration/configuration_state.cpp
@@ -7,8 +7,8 @@
 
 bool ConfigurationState::offer(DocumentPointer document)
 {
-    // A replayed or late message carries what was in force once; taking it would bring back a withdrawn key,
-    // and the operator who withdrew it would see it work again.
+    // A replayed or late message carries a superseded configuration. Accepting it would make a withdrawn key
+    // valid again after an operator has withdrawn it.
     if (!document || document->sequence() <= this->sequence())
         return false;
     this->current = std::move(document);
@@ -23,9 +23,9 @@
     std::vector<KeyId> withdrawn;
     for (const auto& key : before.keys()) {
         const auto match = granted.find(key.id());
-        const bool stands = match != granted.end() && match->second->team() == key.team()
+        const bool isStillGranted = match != granted.end() && match->second->team() == key.team()
             && match->second->secret_hash() == key.secret_hash();
-        if (!stands)
+        if (!isStillGranted)
             withdrawn.emplace_back(key.id());
     }
     return withdrawn;
