--- a/include/cyclamendrift/membership/membership_view.h
+++ b/include/cyclamendrift/membership/membership_view.h
@@ -47,7 +47,7 @@
 
 /// The members of the fleet as one process sees them, after the SWIM protocol: from the platform's VM list,
 /// which lags, from heartbeats to a few peers per interval and from gossip updates in these messages. A VM
-/// that does not answer is probed through other VMs, then suspected, and declared dead only when nobody
+/// that does not answer is probed through other VMs, then suspected, and declared dead only when no VM
 /// refutes the suspicion in time. The cost of an interval does not depend on the number of members.
 ///
 ///     for (const auto& vm : view.selectProbeTargets()) heartbeat(vm);
@@ -80,7 +80,7 @@
     /// Records whether this process can reach a VM directly; other processes may see it otherwise.
     void setLinkWorking(const VmName& vm, bool works);
 
-    /// Declares VMs dead whose suspicion nobody refuted in time.
+    /// Declares VMs dead whose suspicion no VM refuted in time.
     void tick(Instant now);
 
     /// Declares that this VM is leaving; from now on it is no candidate.
--- a/include/cyclamendrift/membership/store_call_throttle.h
+++ b/include/cyclamendrift/membership/store_call_throttle.h
@@ -7,9 +7,9 @@
 namespace cyclamendrift {
 
 /// Limits how often a VM calls the store itself while siblings report that the store is unavailable. If all
-/// of 200 VMs went on trying, each with its own backoff, a store that comes back would receive a thousand
-/// calls per second. The store readers and their standbys go on trying. The other VMs learn from them that
-/// the store is back, and try it themselves from time to time, as it may refuse just the readers.
+/// of 200 VMs kept calling, each with its own backoff, a store that recovers would receive a thousand
+/// calls per second. The store readers and their standbys keep calling. The other VMs learn from them that
+/// the store is available again, and call it themselves from time to time, as it may refuse just the readers.
 ///
 ///     if (!selector.storeSeemsUnavailable(now) || throttle.allowCall(now))
 ///         callStore();
--- a/include/cyclamendrift/membership/store_reader_selector.h
+++ b/include/cyclamendrift/membership/store_reader_selector.h
@@ -13,7 +13,7 @@
 
 /// Selects the VMs that read the store for the others (store readers), as one VM sees them: the first VMs of
 /// an order that all VMs share, without those that recently failed to serve this VM. Standbys, the next VMs
-/// of the order, take their place, so that a reader that is gone or that the store refuses does not make
+/// of the order, take their place, so that a reader that has failed or that the store refuses does not make
 /// every VM read the store itself.
 ///
 ///     selector.setOrder(rankByCores(capacities), count);
--- a/include/cyclamendrift/transactions/transaction_table.h
+++ b/include/cyclamendrift/transactions/transaction_table.h
@@ -43,7 +43,7 @@
     DiscardAnswer,
 };
 
-/// Tracks the open transactions of a service owner. Each is pinned to one connection, belongs to one key and
+/// Tracks the open transactions of a home proxy. Each is pinned to one connection, belongs to one key and
 /// team, and runs one exchange at a time, so that its statements and answers cannot be mixed with those of
 /// another transaction.
 ///
--- a/src/limits/limit_holders.cpp
+++ b/src/limits/limit_holders.cpp
@@ -13,8 +13,8 @@
 // second with the same burst, so a share comes to about one operation or more, and most operations need no
 // message.
 constexpr std::size_t maxVmsThatAllHold = 12;
-// With four holders, one that dies takes away a quarter of the limit until its record expires. Teams use
-// about 60 % of their limit, so the rest suffices.
+// With four holders, one that fails makes a quarter of the limit unavailable until its record expires. Teams
+// use about 60 % of their limit, so the rest suffices.
 constexpr std::size_t holdersPerTeam = 4;
 // One VM in `vmsPerCandidate` may be a holder, but at least `minCandidates` VMs. This bounds the connections
 // between VMs: for tokens, each VM keeps connections to the candidates only.
--- a/src/membership/membership_view.cpp
+++ b/src/membership/membership_view.cpp
@@ -178,7 +178,7 @@
 
 void MembershipView::tick(Instant now)
 {
-    // After a pause of this process all its suspicions look old, although nobody could refute them to it.
+    // After a pause of this process all its suspicions look old, although no VM could refute them to it.
     const bool paused = this->lastTick && now - *this->lastTick > this->options.suspicionTime / 2;
     this->lastTick = now;
     std::vector<VmName> remaining;
--- a/src/pooling/caller_session.h
+++ b/src/pooling/caller_session.h
@@ -67,7 +67,7 @@
 struct CallerSession {
     CallerId id {};
     bool started = false;
-    /// True when it stands for a session of a sibling, which forwarded its statement to this VM.
+    /// True when it represents a session of a sibling, which forwarded its statement to this VM.
     bool remoteSession = false;
     std::string database;
     std::string key;
--- a/src/pooling/engine_forwarding.cpp
+++ b/src/pooling/engine_forwarding.cpp
@@ -35,7 +35,7 @@
 
 ServiceOwners* SessionEngine::State::ownersFor(std::uint32_t connectionCap) const
 {
-    // Forwarding costs time and traffic between availability zones, and an owner that dies loses the
+    // Forwarding costs time and traffic between availability zones, and an owner that fails loses the
     // transactions of all VMs. Both are only worth it where this VM cannot serve its callers by itself.
     const bool alone = this->evenShareOf(connectionCap) >= this->options.settings.minShareWithoutOwners;
     return alone ? nullptr : this->place.owners.get();
--- a/tests/commits/confirmation_tracker_test.cpp
+++ b/tests/commits/confirmation_tracker_test.cpp
@@ -124,8 +124,9 @@
         CHECK(tracker.take(later).confirmed == std::vector { ticket });
     }
 
-    // A replaced primary comes back and answers a read while its proxy still has the old view; then the proxy
-    // learns of the promotion. Everything that the read returned was kept, but newer commits are missing.
+    // A replaced primary is reachable again and answers a read while its proxy still has the old view; then
+    // the proxy learns of the promotion. Everything that the read returned was kept, but newer commits are
+    // missing.
     TEST_CASE("a pending primary read is unconfirmed after a promotion")
     {
         ConfirmationTracker tracker;
--- a/tests/membership/membership_view_test.cpp
+++ b/tests/membership/membership_view_test.cpp
@@ -69,7 +69,7 @@
     }
 
     // Guards against declaring VMs dead after a pause of this process: its suspicions look old, although
-    // nobody could refute them meanwhile.
+    // no VM could refute them meanwhile.
     TEST_CASE("after a pause a suspicion can still be refuted")
     {
         auto view = makeView();
@@ -88,7 +88,7 @@
         CHECK(view.self().state == MemberState::Live);
     }
 
-    // Guards against a late update that declares a VM dead after it came back.
+    // Guards against a late update that declares a VM dead after it has answered again.
     TEST_CASE("an older update does not replace a newer one")
     {
         auto view = makeView();
--- a/tests/membership/missing_vms_test.cpp
+++ b/tests/membership/missing_vms_test.cpp
@@ -26,7 +26,7 @@
 {
     TEST_CASE("195 VMs stay listed while their records, expired in an outage, come back one by one")
     {
-        // Guards against reassigning service owners and limits with each record that comes back.
+        // Guards against reassigning service owners and limits with each record that is listed again.
         MissingVms missingVms;
         const auto vms = makeVmNames(195);
         CHECK(missingVms.retain(vms, {}, start).size() == 195);
@@ -49,7 +49,7 @@
 
     TEST_CASE("VMs whose records do not come back are removed after the retention time")
     {
-        // Guards against VMs that stay listed forever after many have died at once.
+        // Guards against VMs that stay listed forever after many have failed at once.
         MissingVms missingVms;
         const auto vms = makeVmNames(195);
         CHECK(missingVms.retain(vms, firstVms(vms, 130), start).size() == 65);
--- a/tests/membership/owner_selection_test.cpp
+++ b/tests/membership/owner_selection_test.cpp
@@ -33,8 +33,8 @@
         });
     }
 
-    // Guards against databases that change their owner when an unrelated VM dies: all their connections would
-    // be reopened at once.
+    // Guards against databases that change their owner when an unrelated VM fails: all their connections
+    // would be reopened at once.
     TEST_CASE("removing a VM changes only the keys that it owned")
     {
         checkProperty("stable first owner", [](std::uint32_t key) {
--- a/tests/membership/store_reader_selector_test.cpp
+++ b/tests/membership/store_reader_selector_test.cpp
@@ -55,7 +55,7 @@
 
     TEST_CASE("readers and their standbys are the first VMs of the order")
     {
-        // Guards against too many VMs that go on calling the store while it is unavailable.
+        // Guards against too many VMs that keep calling the store while it is unavailable.
         StoreReaderSelector selector;
         selector.setOrder(makeVmNames(81), 2);
         CHECK(selector.isReaderOrStandby(VmName { "vm-0" }, Instant { 100s }));
--- a/tests/pooling/forwarded_statement_test.cpp
+++ b/tests/pooling/forwarded_statement_test.cpp
@@ -106,7 +106,7 @@
 
     TEST_CASE("a write whose reply from the owner is lost is in doubt and is not sent again")
     {
-        // The owner dies after it has run an order and before it could reply. If the order were sent again,
+        // The owner fails after it has run an order and before it could reply. If the order were sent again,
         // it would be placed twice; if it were reported as not run, the caller would place it again.
         PoolSimulation simulation { forwardToOwner };
         const auto caller = simulation.connect();
--- a/tests/pooling/owner_health_test.cpp
+++ b/tests/pooling/owner_health_test.cpp
@@ -31,7 +31,7 @@
         simulation.advanceTime(100ms);
         CHECK(simulation.loggedEvents("home_out_of_reach").size() == 1);
         CHECK_FALSE(simulation.run(second, "d/1", "READ 1").failure);
-        // The statement under way may run at the owner, so it is not sent to another VM.
+        // The statement in progress may run at the owner, so it is not sent to another VM.
         CHECK(simulation.takeReplies(first).empty());
         simulation.restoreOwnerLink();
         CHECK_FALSE(simulation.takeReply(first).failure);
--- a/tests/pooling/service_owners_test.cpp
+++ b/tests/pooling/service_owners_test.cpp
@@ -60,7 +60,7 @@
 
     TEST_CASE("removing a VM moves only the teams that it owned")
     {
-        // Guards against moving teams of the other owners when a VM dies. All their connections would be
+        // Guards against moving teams of the other owners when a VM fails. All their connections would be
         // opened again at once, and opening one takes the upstream as long as a short statement.
         auto listed = fleetOf(70);
         ServiceOwners before { VmName { "vm-1" }, listed };
--- a/tests/pooling/session_engine_test.cpp
+++ b/tests/pooling/session_engine_test.cpp
@@ -114,7 +114,7 @@
     TEST_CASE("a withdrawn key stops working on a session that is already open")
     {
         // An operator withdraws a key while its holder is connected. A session that checked the key only at
-        // its start would go on reading for as long as it stays open.
+        // its start would keep reading for as long as it stays open.
         PoolSimulation simulation { {} };
         const auto caller = simulation.connect();
         CHECK_FALSE(simulation.run(caller, "c/1", "READ 1").failure);
