--- a/tests/failover/failover_test.cpp
+++ b/tests/failover/failover_test.cpp
@@ -380,7 +380,7 @@
         checkGroupServes(simulation);
     }
 
-    // A home proxy and the primary fail together, as when both run on the same VM.
+    // A home proxy and the primary fail together, as when one physical machine runs both VMs.
     TEST_CASE("the second home proxy replaces the primary when the first fails with it")
     {
         for (const std::size_t slots : { 2U, 3U }) {
